--- a/magnolialug/ctl/endpoints.py
+++ b/magnolialug/ctl/endpoints.py
@@ -6,7 +6,7 @@
 from magnolialug.platform.kv import Kv, KvEntry
 from magnolialug.platform.operator import EVACUATION_PREFIX
 from magnolialug.platform.registry import REGISTRY_PREFIX, read_listed
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.result import Failure
 
 __all__ = ["endpoint_lines"]
@@ -37,7 +37,7 @@
     )
 
 
-def _state(listed: Listed, evacuated: Collection[ZoneId]) -> str:
+def _state(listed: RegisteredEndpoint, evacuated: Collection[ZoneId]) -> str:
     if listed.leaving:
         return "leaving"
     if listed.zone in evacuated:
--- a/magnolialug/entry/admissionrules.py
+++ b/magnolialug/entry/admissionrules.py
@@ -1,7 +1,7 @@
 """Which prompts wait for an engine's memory, and for how long."""
 
 from magnolialug.entry.forwardcall import ForwardCall
-from magnolialug.policy.admissionorder import Waiting, patience_s
+from magnolialug.policy.admissionorder import WaitingPrompt, caller_timeout_s
 
 __all__ = ["ahead_limit_s", "is_large", "waiting_of"]
 
@@ -28,12 +28,12 @@
     return _AHEAD_SHARE * call.route.target_s
 
 
-def waiting_of(call: ForwardCall) -> Waiting:
+def waiting_of(call: ForwardCall) -> WaitingPrompt:
     """Returns a large call as those see it who let it go."""
     route = call.route
-    patience = patience_s(route.target_s, route.gap_s)
+    patience = caller_timeout_s(route.target_s, route.gap_s)
     ends_at = min(call.deadline, call.arrived + patience)
-    return Waiting(
+    return WaitingPrompt(
         number=0,
         priority=call.priority,
         target_at=call.arrived + route.target_s,
--- a/magnolialug/entry/confwatch.py
+++ b/magnolialug/entry/confwatch.py
@@ -9,7 +9,12 @@
 from magnolialug.config.current import Current
 from magnolialug.confstore import HEAD_KEY, head_of, read_doc, read_head
 from magnolialug.platform.kv import Kv, KvEntry
-from magnolialug.policy.watchers import LEASE_S, SLOTS, Watching, should_try
+from magnolialug.policy.watcherslots import (
+    LEASE_S,
+    SLOTS,
+    WatcherState,
+    should_acquire_slot,
+)
 from magnolialug.result import Failure
 
 __all__ = ["ConfigWatch"]
@@ -50,7 +55,7 @@
         self._clock = clock
         self._random = random
         self._wall = wall
-        self._watching = Watching()
+        self._watching = WatcherState()
         self._lease = 0
         self._until = 0.0
         self._renewed = 0.0
@@ -88,7 +93,7 @@
             return
         self._drop()
         beat = self._current.beat
-        if should_try(self._watching, beat, now, self._random):
+        if should_acquire_slot(self._watching, beat, now, self._random):
             self._spawn(self._try_slots())
 
     def _spawn(self, work) -> None:
--- a/magnolialug/entry/costs.py
+++ b/magnolialug/entry/costs.py
@@ -68,8 +68,8 @@
             cost,
             sound=peer.sound(now) and not (state and state.silent),
             room=self._has_room(call, peer, known),
-            told=state is not None,
-            soon=self._is_soon(call, peer),
+            reported=state is not None,
+            starts_soon=self._is_soon(call, peer),
         )
 
     def content(self, call: ForwardCall, peer: Peer) -> bool:
@@ -89,7 +89,7 @@
         """Returns how many of a prompt's first parts an engine holds."""
         state = known.states.get(peer.listed.endpoint)
         if state is not None:
-            return state.found
+            return state.cached_parts
         if peer.load is None:
             return 0
         salt = call.salt(peer.weights(call.prompt.model))
--- a/magnolialug/entry/directory.py
+++ b/magnolialug/entry/directory.py
@@ -14,8 +14,8 @@
 from magnolialug.policy.coldstart import ColdStart
 from magnolialug.policy.engineload import EngineLoad
 from magnolialug.policy.lifetimes import Lifetimes
-from magnolialug.policy.listed import Listed
 from magnolialug.policy.oldweights import EngineWeights
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.policy.ring import Ring
 from magnolialug.policy.rollout import Rollout
 from magnolialug.policy.sharedload import WorkShare
@@ -147,7 +147,7 @@
         found = routing.services.get(service) if routing else None
         return found.engine.memory_tokens if found and found.engine else 0
 
-    def listed(self, entry: Listed) -> None:
+    def listed(self, entry: RegisteredEndpoint) -> None:
         """Takes a new or changed registry entry."""
         if self._lifetimes.is_over(entry.endpoint, entry.born_ms):
             emit(Event.ENDPOINT_STALE, endpoint=entry.endpoint)
@@ -233,7 +233,7 @@
         peer = self.peers.get(endpoint)
         return peer.share(self._reactor.seconds()) if peer else None
 
-    def replace(self, entries: Iterable[Listed]) -> None:
+    def replace(self, entries: Iterable[RegisteredEndpoint]) -> None:
         """Takes the whole registry as it is now."""
         named = set()
         for entry in entries:
@@ -286,7 +286,7 @@
             ring = self._rings[service] = Ring(names)
         return ring
 
-    def _restart(self, peer: Peer, entry: Listed) -> None:
+    def _restart(self, peer: Peer, entry: RegisteredEndpoint) -> None:
         """Forgets all that was believed of an endpoint's earlier start.
 
         An endpoint that starts again holds and knows nothing of before. One
@@ -317,7 +317,7 @@
         self._remove(peer)
         self._add(entry)
 
-    def _displace(self, entry: Listed) -> None:
+    def _displace(self, entry: RegisteredEndpoint) -> None:
         """Takes an address from the endpoint that had it before.
 
         That one has ended, since two cannot have one address. An entry of it
@@ -337,7 +337,7 @@
             )
             self.misplaced(peer)
 
-    def _add(self, entry: Listed) -> Peer:
+    def _add(self, entry: RegisteredEndpoint) -> Peer:
         self._displace(entry)
         pool = Pool(
             self._reactor,
@@ -375,19 +375,19 @@
                 self._rank / self.entries,
             )
 
-    def _load(self, entry: Listed) -> EngineLoad | None:
+    def _load(self, entry: RegisteredEndpoint) -> EngineLoad | None:
         service = self._service(entry)
         if service is None or service.engine is None:
             return None
         return EngineLoad(service.engine.memory_tokens, service.engine.slots)
 
-    def _connections(self, entry: Listed) -> int:
+    def _connections(self, entry: RegisteredEndpoint) -> int:
         """Returns this entry's share of an endpoint's connections."""
         service = self._service(entry)
         total = service.connections if service else entry.slots
         return max(1, total // (self.entries + 1))
 
-    def _service(self, entry: Listed):
+    def _service(self, entry: RegisteredEndpoint):
         if self._routing is None:
             return None
         return self._routing.services.get(entry.service)
--- a/magnolialug/entry/gateway.py
+++ b/magnolialug/entry/gateway.py
@@ -402,7 +402,7 @@
         rollout = self.directory.rollout
         told = {rollout.model} if rollout is not None else set()
         for model in told.union(self.routes.weights):
-            self._bounds.heard(model, self._newest(model), now)
+            self._bounds.record_version(model, self._newest(model), now)
 
     def _counted(
         self, members: dict[Address, float], sharing: set[Address]
--- a/magnolialug/entry/gatewayintake.py
+++ b/magnolialug/entry/gatewayintake.py
@@ -7,7 +7,7 @@
 from magnolialug.platform.requests import Marks, read_marks
 from magnolialug.policy.digest import digest_of
 from magnolialug.policy.rank import rank
-from magnolialug.policy.routes import RouteTable, share_of
+from magnolialug.policy.routes import RouteTable, service_for
 from magnolialug.result import Code, Failure, failed
 
 __all__ = ["read_call"]
@@ -49,7 +49,7 @@
 
 
 def _team(table: RouteTable, route: Route, marks: Marks) -> RouteTeam | Failure:
-    if not table.asks_for_keys:
+    if not table.requires_key:
         return _NOBODY
     team = table.team(marks.key) if marks.key else None
     if team is not None:
@@ -73,7 +73,7 @@
     body = req.body()
     return ForwardCall(
         team=team.name,
-        service=share_of(route, marks.request_id),
+        service=service_for(route, marks.request_id),
         kind_name=KindName(route.name),
         kind=route.kind,
         root=marks.prompt.root if marks.prompt else "",
--- a/magnolialug/entry/httpcarrier.py
+++ b/magnolialug/entry/httpcarrier.py
@@ -275,12 +275,12 @@
             if peer.load is not None:
                 peer.turned_away(self._clock())
         elif outcome.end is End.SILENT and peer.heard_at > outcome.sent_at:
-            peer.health.answered(False)
+            peer.health.record_answer(False)
         elif outcome.end is End.UNSENT or outcome.end in _ENDPOINT_AT_FAULT:
-            peer.health.broke(self._clock())
+            peer.health.record_failure(self._clock())
             peer.unreachable = outcome.end is End.UNSENT
         elif answer is not None:
-            peer.health.answered(answer.status < 500)
+            peer.health.record_answer(answer.status < 500)
             if answer.weights and self._call.prompt:
                 peer.heard_weights(self._call.prompt.model, answer.weights)
         else:
--- a/magnolialug/entry/peer.py
+++ b/magnolialug/entry/peer.py
@@ -9,7 +9,7 @@
 from magnolialug.policy.coldstart import ColdStart
 from magnolialug.policy.engineload import EngineLoad
 from magnolialug.policy.health import Health
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.policy.sharedload import EndpointState, WorkShare
 
 __all__ = ["Peer"]
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        listed: Listed,
+        listed: RegisteredEndpoint,
         pool: Pool,
         load: EngineLoad | None,
         cold: ColdStart,
@@ -113,7 +113,7 @@
 
     def presume_cold(self, now: float) -> None:
         """Learns that it may have started a moment ago."""
-        if self.cold.presume(now):
+        if self.cold.assume_started(now):
             self._log_cold(self.cold.length_s)
 
     def starts_cold(self, now: float) -> None:
@@ -135,13 +135,13 @@
         self._told_at = now
         for model, version in state.weights.items():
             self.heard_weights(model, version)
-        for model, version in state.least.items():
+        for model, version in state.min_weights.items():
             self.denied_weights(model, version - 1)
         cold_s = state.cold_ms / 1000
-        if cold_s > 0 and self.cold.believe(now, cold_s):
+        if cold_s > 0 and self.cold.assume_cold(now, cold_s):
             self._log_cold(cold_s)
         if self.load is not None:
-            self.load.elsewhere(state, now)
+            self.load.record_others(state, now)
 
     def taken(self, now: float) -> int:
         """Returns the requests under way there, from all entries."""
@@ -158,13 +158,13 @@
             sound=self.sound(now),
             born_ms=self.listed.born_ms,
             weights=self.all_weights(),
-            cold_until=self.cold.known_until,
+            cold_until=self.cold.confirmed_until,
         )
 
     def share(self, now: float) -> WorkShare:
         """Returns this entry's work there, as it is told to its owner."""
         listed = self.listed
-        cold_ms = round(max(0.0, self.cold.known_until - now) * 1000)
+        cold_ms = round(max(0.0, self.cold.confirmed_until - now) * 1000)
         if self.load is not None:
             return self.load.share(
                 listed.endpoint,
@@ -234,9 +234,9 @@
         """
         self.closed_until = max(self.closed_until, now + _TURNED_AWAY_S)
 
-    def relist(self, listed: Listed, now: float) -> None:
+    def relist(self, listed: RegisteredEndpoint, now: float) -> None:
         """Takes a newer registry entry of the same start."""
-        if listed.cold_s > 0 and self.cold.begin(now, listed.cold_s):
+        if listed.cold_s > 0 and self.cold.record_cold(now, listed.cold_s):
             self._log_cold(listed.cold_s)
         born_ms = listed.born_ms or self.listed.born_ms
         self.listed = msgspec.structs.replace(listed, born_ms=born_ms)
--- a/magnolialug/entry/registry.py
+++ b/magnolialug/entry/registry.py
@@ -11,7 +11,7 @@
 from magnolialug.platform.kv import KvEntry
 from magnolialug.platform.registry import endpoint_id_of, read_listed
 from magnolialug.policy.lapse import may_have_lapsed
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.result import Code, Failure, failed
 from magnolialug.watchsubscriber import WatchSubscriber
 
@@ -48,7 +48,7 @@
         self._away = False
         self._missing: set[EndpointId] = set()
         self._services: Collection[ServiceName] | None = None
-        self._strangers: dict[EndpointId, Listed] = {}
+        self._strangers: dict[EndpointId, RegisteredEndpoint] = {}
         self._refused: dict[str, int] = {}
 
     def configure(self, routing: Routing) -> None:
@@ -134,7 +134,7 @@
     def _doubtful(self) -> bool:
         return self._away or self._clock.seconds() < self._trusted_from
 
-    def _read(self, entry: KvEntry) -> Listed | None:
+    def _read(self, entry: KvEntry) -> RegisteredEndpoint | None:
         """Returns the endpoint that an entry names, None if it names none."""
         listed = read_listed(entry.key, entry.value)
         if isinstance(listed, Failure):
@@ -150,7 +150,7 @@
         self._strangers.pop(listed.endpoint, None)
         return listed
 
-    def _is_stranger(self, listed: Listed) -> bool:
+    def _is_stranger(self, listed: RegisteredEndpoint) -> bool:
         known = self._services
         return known is not None and listed.service not in known
 
--- a/magnolialug/entry/rolloutcommands.py
+++ b/magnolialug/entry/rolloutcommands.py
@@ -11,7 +11,7 @@
 from magnolialug.events import Event, emit
 from magnolialug.ids import EndpointId
 from magnolialug.platform.enginecalls import EngineCalls, OrderReply, Report
-from magnolialug.policy.rollout import Engine, after, plan
+from magnolialug.policy.rollout import Engine, next_numbered, plan
 from magnolialug.result import Failure
 
 __all__ = ["RolloutCommands"]
@@ -126,7 +126,7 @@
             done = msgspec.structs.replace(
                 announced, closed=(), taken=announced.taken + announced.closed
             )
-            self._lease.announce(after(done, announced))
+            self._lease.announce(next_numbered(done, announced))
         else:
             self._lease.announce_end()
 
--- a/magnolialug/events.py
+++ b/magnolialug/events.py
@@ -10,7 +10,7 @@
 from twisted.logger import globalLogPublisher
 
 from magnolialug.logwriter import LogWriter
-from magnolialug.policy.logbounds import Grade, LogBounds
+from magnolialug.policy.loglimiter import Grade, LogLimiter
 from magnolialug.result import Failure
 
 __all__ = [
@@ -198,7 +198,7 @@
 # The name that every line of this process bears.
 _process = [""]
 _encode = msgspec.json.Encoder(enc_hook=str).encode
-_bounds = LogBounds()
+_bounds = LogLimiter()
 _to_log = logger.opt(depth=1)
 
 
@@ -279,7 +279,7 @@
 def tell_dropped(writer: LogWriter) -> int:
     """Logs how many lines were left out since the last call; returns it."""
     lost, writer.lost = writer.lost, 0
-    dropped = _bounds.told()
+    dropped = _bounds.take_dropped()
     if dropped or lost:
         emit(Event.LINES_DROPPED, over_bounds=dropped, not_read=lost)
     return dropped + lost
--- a/magnolialug/measure/ablation.py
+++ b/magnolialug/measure/ablation.py
@@ -43,8 +43,12 @@
     Mechanism("nothing", "entry/admissionrules.py", "_LARGE_SHARE", "0.04"),
     Mechanism("waiting", "entry/admissionrules.py", "_LARGE_SHARE", "9.0"),
     Mechanism("several lists", "entry/httpcarrier.py", "_LISTS", "1"),
-    Mechanism("large ones first", "policy/admissionorder.py", "_SIZE_S", "0.0"),
-    Mechanism("early refusal", "policy/admissionorder.py", "_TELLING", "10**9"),
+    Mechanism(
+        "large ones first", "policy/admissionorder.py", "_SIZE_LEAD_S", "0.0"
+    ),
+    Mechanism(
+        "early refusal", "policy/admissionorder.py", "_MIN_GRANTS", "10**9"
+    ),
     Mechanism("asking more", "entry/candidateprober.py", "_ROUNDS", "(3,)"),
     Mechanism("asking anybody", "entry/candidateprober.py", "_ROUNDS", "(1,)"),
     Mechanism(
@@ -54,10 +58,18 @@
     Mechanism("shared silence", "policy/endpointledger.py", "_SILENT_S", "1e9"),
     Mechanism("own silence", "entry/silencewatch.py", "_SILENT_S", "1e9"),
     Mechanism("zone price", "entry/costs.py", "_OTHER_ZONE_S", "0.0"),
-    Mechanism("room price", "policy/enginecost.py", "_ROOM_S", "0.0"),
-    Mechanism("reading again", "policy/enginecost.py", "_READ_AGAIN", "0.0"),
-    Mechanism("place on the ring", "policy/enginecost.py", "_RANK_S", "0.0"),
-    Mechanism("fetch queue", "policy/enginecost.py", "_FETCH_QUEUE", "1.0"),
+    Mechanism(
+        "room price", "policy/enginecost.py", "_LOW_MEMORY_PENALTY_S", "0.0"
+    ),
+    Mechanism(
+        "reading again", "policy/enginecost.py", "_PREFILL_WEIGHT", "0.0"
+    ),
+    Mechanism(
+        "place on the ring", "policy/enginecost.py", "_RANK_PENALTY_S", "0.0"
+    ),
+    Mechanism(
+        "fetch queue", "policy/enginecost.py", "_FETCH_QUEUE_FACTOR", "1.0"
+    ),
     Mechanism("fetch bound", "policy/storeindex.py", "_FETCH_S", "4.0"),
     Mechanism(
         "frees of old weights",
--- a/magnolialug/measure/actors.py
+++ b/magnolialug/measure/actors.py
@@ -7,8 +7,8 @@
 
 from magnolialug.measure.fakes import Engine
 from magnolialug.measure.workload import Req, Workload
+from magnolialug.policy.attemptqueue import AttemptQueue
 from magnolialug.policy.belief import Beliefs
-from magnolialug.policy.lineup import Lineup
 from magnolialug.policy.linkrate import LinkRate
 from magnolialug.policy.load import EndpointView, sent
 from magnolialug.policy.membership import Members
@@ -88,7 +88,7 @@
         self.engine = Engine(
             world.loop, workload.prefill_rate * speed, workload.cache_tokens
         )
-        self.lineup: Lineup[Ticket] = Lineup(QUEUE, SLOTS)
+        self.lineup: AttemptQueue[Ticket] = AttemptQueue(QUEUE, SLOTS)
         self.running: dict[int, Ticket] = {}
         self.alive = True
         self.draining_since: float | None = None
--- a/magnolialug/measure/faults.py
+++ b/magnolialug/measure/faults.py
@@ -2,7 +2,7 @@
 
 from magnolialug.measure.actors import QUEUE, SLOTS
 from magnolialug.measure.world import World
-from magnolialug.policy.lineup import Lineup
+from magnolialug.policy.attemptqueue import AttemptQueue
 from magnolialug.policy.retry import Ending
 from magnolialug.result import Code, failed
 
@@ -17,7 +17,7 @@
     sidecar.alive = False
     lost = [*sidecar.running.values(), *sidecar.unstarted()]
     sidecar.running.clear()
-    sidecar.lineup = Lineup(QUEUE, SLOTS)
+    sidecar.lineup = AttemptQueue(QUEUE, SLOTS)
     for entry in world.entries:
         entry.members.down(name)
     for ticket in lost:
--- a/magnolialug/measure/gatewayslopes.py
+++ b/magnolialug/measure/gatewayslopes.py
@@ -32,7 +32,7 @@
 from magnolialug.policy.choice import choose
 from magnolialug.policy.digest import digest_of
 from magnolialug.policy.endpointledger import EndpointLedger
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.policy.routes import RouteTable
 from magnolialug.policy.sharedload import Placement, WorkShare
 from magnolialug.policy.storeindex import StoreIndex
@@ -127,7 +127,7 @@
     directory.configure(_routing(1, 1))
     for number in range(engines):
         directory.listed(
-            Listed(
+            RegisteredEndpoint(
                 f"i-{number}",
                 "llm",
                 ("10.0.0.1", 1 + number),
@@ -175,7 +175,7 @@
     """Returns an engine's account with the work of eight entries."""
     account = EndpointLedger("i-7f3a91c0001", 140_000, _BORN_MS)
     for number in range(8):
-        account.told(f"{number:08x}", _work_share(), 0.0)
+        account.record_share(f"{number:08x}", _work_share(), 0.0)
     return account
 
 
--- a/magnolialug/measure/world.py
+++ b/magnolialug/measure/world.py
@@ -19,8 +19,8 @@
 from magnolialug.measure.fakes import TOKEN_BYTES, Loop, Store
 from magnolialug.measure.keeper import Keeper
 from magnolialug.measure.workload import Req, Workload
+from magnolialug.policy.attemptqueue import AttemptTraits
 from magnolialug.policy.belief import EngineBelief, StoreBelief
-from magnolialug.policy.lineup import Claimant
 from magnolialug.policy.linkrate import import_pays
 from magnolialug.policy.load import (
     clear_unreported,
@@ -188,7 +188,7 @@
             self.ended(sidecar, ticket, Ending.NOT_RUN, why)
             return
         req = ticket.req
-        claimant = Claimant(req.team, req.tokens, req.shape.priority, 1.0)
+        claimant = AttemptTraits(req.team, req.tokens, req.shape.priority, 1.0)
         sidecar.lineup.push(ticket, claimant)
         self.loop.at(ticket.deadline, self._overdue, sidecar, ticket)
         self._pump(sidecar)
--- a/magnolialug/owners/admissionclient.py
+++ b/magnolialug/owners/admissionclient.py
@@ -16,7 +16,7 @@
     Enqueue,
 )
 from magnolialug.owners.ownerring import OwnerRing
-from magnolialug.policy.admissionorder import Waiting
+from magnolialug.policy.admissionorder import WaitingPrompt
 from magnolialug.result import Code, Failure, failed
 
 __all__ = ["AdmissionClient", "AdmissionRequest"]
@@ -53,7 +53,7 @@
 
 
 class _Row(msgspec.Struct):
-    waiting: Waiting
+    waiting: WaitingPrompt
     ahead_s: float
     places: dict[EndpointId, _Place]
     granted: Deferred
@@ -93,7 +93,7 @@
 
     def enqueue(
         self,
-        waiting: Waiting,
+        waiting: WaitingPrompt,
         requests: Iterable[AdmissionRequest],
         ahead_s: float,
     ) -> Deferred[EndpointId | Failure | None]:
--- a/magnolialug/owners/admissionqueues.py
+++ b/magnolialug/owners/admissionqueues.py
@@ -13,8 +13,8 @@
     Dequeue,
     Enqueue,
 )
-from magnolialug.policy.admissionorder import Waiting
-from magnolialug.policy.admissionqueue import Queued
+from magnolialug.policy.admissionorder import WaitingPrompt
+from magnolialug.policy.admissionqueue import QueuedPrompt
 from magnolialug.policy.endpointledger import EndpointLedger
 
 __all__ = ["AdmissionQueues"]
@@ -61,7 +61,7 @@
         ledger = self._ledgers.of(message.endpoint)
         if not self._is_open(message.endpoint):
             self._reply(ticket, message.endpoint, AdmissionState.GONE)
-        elif ledger.has_promised(ticket):
+        elif ledger.has_reservation(ticket):
             self._reply(ticket, message.endpoint, AdmissionState.GRANTED)
         else:
             self._put(ledger, ticket, message)
@@ -69,7 +69,7 @@
     def dequeue(self, message: Dequeue) -> None:
         """Removes a prompt from all queues."""
         for ledger in self._ledgers:
-            ledger.leave((message.entry, message.number))
+            ledger.remove_prompt((message.entry, message.number))
 
     def stop(self) -> None:
         """Admits no more prompts."""
@@ -81,7 +81,7 @@
         self, ledger: EndpointLedger, ticket: Ticket, message: Enqueue
     ) -> None:
         now = self._clock.seconds()
-        waiting = Waiting(
+        waiting = WaitingPrompt(
             number=0,
             priority=message.priority,
             target_at=now + message.target_ms / 1000,
@@ -89,7 +89,7 @@
             size=message.tokens / max(1, ledger.memory),
             first_event_s=_FIRST_EVENT_S + message.unread / self._rate(message),
         )
-        row = Queued(
+        row = QueuedPrompt(
             ticket=ticket,
             waiting=waiting,
             tokens=message.tokens,
@@ -97,10 +97,10 @@
             ahead_s=message.ahead_ms / 1000,
             lists=message.lists,
             first=message.first,
-            heard_at=now,
+            renewed_at=now,
         )
         ledger.queue.put(row)
-        after_s = ledger.queue.hopeless_after_s(ticket, now)
+        after_s = ledger.queue.retry_after_s(ticket, now)
         hopeless = after_s is not None
         state = AdmissionState.HOPELESS if hopeless else AdmissionState.QUEUED
         self._reply(ticket, message.endpoint, state, after_s or 0.0)
@@ -123,7 +123,7 @@
         now = self._clock.seconds()
         for ledger in self._ledgers:
             if len(ledger.queue):
-                ledger.forget_old(now)
+                ledger.drop_expired(now)
                 self._grant(ledger, now)
         if not self.waiting:
             self._clients.clear()
--- a/magnolialug/owners/ledgers.py
+++ b/magnolialug/owners/ledgers.py
@@ -63,15 +63,15 @@
             self._ledgers[endpoint] = ledger
         ledger.born_ms = max(ledger.born_ms, born_ms)
         if facts is not None:
-            ledger.knows(facts.weights)
-            ledger.knows_cold(facts.cold_until)
+            ledger.record_weights(facts.weights)
+            ledger.record_cold_until(facts.cold_until)
         return ledger
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forgets what is over, and endpoints that are gone."""
         for ledger in self:
-            ledger.forget_old(now)
-            if ledger.idle() and self.facts(ledger.endpoint) is None:
+            ledger.drop_expired(now)
+            if ledger.is_idle() and self.facts(ledger.endpoint) is None:
                 del self._ledgers[ledger.endpoint]
 
 
--- a/magnolialug/owners/ledgerservice.py
+++ b/magnolialug/owners/ledgerservice.py
@@ -52,11 +52,11 @@
         for share in report.shares:
             if self._is_current(share):
                 ledger = self._ledgers.of(share.endpoint, share.born_ms)
-                ledger.told(report.entry, share, now)
+                ledger.record_share(report.entry, share, now)
         for placement in report.placements:
             if self._is_current(placement):
                 ledger = self._ledgers.of(placement.endpoint, placement.born_ms)
-                ledger.placed(placement)
+                ledger.record_placement(placement)
         self._dissemination.take(News(report.rollout, report.evacuated))
 
     def answer(self, query: LoadQuery) -> LoadReply:
@@ -65,7 +65,7 @@
         states = []
         for asked in query.endpoints:
             ledger = self._ledgers.of(asked.endpoint)
-            ledger.forget_old(now)
+            ledger.drop_expired(now)
             states.append(
                 ledger.state(query.entry, now, asked.salt, query.parts)
             )
--- a/magnolialug/owners/wiring.py
+++ b/magnolialug/owners/wiring.py
@@ -127,7 +127,7 @@
             self._talk.send(LoadQuery("", _NO_NUMBER, ()), address)
         if now >= self._clean_at:
             self._clean_at = now + _CLEAN_S
-            self._ledgers.forget_old(now)
+            self._ledgers.drop_expired(now)
 
     def stop(self) -> None:
         """Cancels all timers."""
--- a/magnolialug/platform/enginecalls.py
+++ b/magnolialug/platform/enginecalls.py
@@ -6,7 +6,7 @@
 
 from magnolialug.carrier.client import Client, NoReply, request_bytes
 from magnolialug.ids import EndpointId
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.result import Code, Failure, failed
 
 __all__ = ["EngineCalls", "OrderReply", "Report"]
@@ -88,7 +88,7 @@
     def __init__(self, client: Client):
         self._client = client
 
-    async def report(self, engine: Listed) -> Report | Failure:
+    async def report(self, engine: RegisteredEndpoint) -> Report | Failure:
         """Returns what an engine says of itself."""
         host = engine.address[0]
         request = request_bytes(
@@ -116,7 +116,7 @@
 
     async def take_weights(
         self,
-        engine: Listed,
+        engine: RegisteredEndpoint,
         model: str,
         version: int,
         mode: str,
--- a/magnolialug/platform/registry.py
+++ b/magnolialug/platform/registry.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from magnolialug.ids import EndpointId, ServiceName, ZoneId
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
 from magnolialug.result import Code, Failure, failed
 
 __all__ = ["REGISTRY_PREFIX", "endpoint_id_of", "read_listed"]
@@ -46,7 +46,7 @@
     return EndpointId(key.removeprefix(REGISTRY_PREFIX))
 
 
-def read_listed(key: str, value: bytes) -> Listed | Failure:
+def read_listed(key: str, value: bytes) -> RegisteredEndpoint | Failure:
     """Returns the endpoint in a store value.
 
     Others than endpoints can write there too. What lacks a field, or has one
@@ -63,7 +63,7 @@
         return failed(Code.BAD_ENTRY, "unknown state", key, row.state)
     if row.slots < 1:
         return failed(Code.BAD_ENTRY, "must be above 0", key, str(row.slots))
-    return Listed(
+    return RegisteredEndpoint(
         endpoint=endpoint_id_of(key),
         service=ServiceName(row.service),
         address=(host, int(port)),
--- a/magnolialug/policy/__init__.py
+++ b/magnolialug/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Pure decisions: state in, a typed decision with its reason out.
+"""Pure decision functions: state in, a typed decision with its reason out.
 
-Nothing here does I/O, reads a clock or draws from a global random source.
+Nothing in this package does I/O, reads a clock or uses a global random source.
 """
--- a/magnolialug/policy/admission.py
+++ b/magnolialug/policy/admission.py
@@ -1,4 +1,4 @@
-"""Per-team rate and concurrency, shared over live entries."""
+"""Per-team rate and concurrency limits, divided among the live entries."""
 
 import msgspec
 
@@ -30,9 +30,9 @@
 class Admission:
     """One entry's share of every team's limits.
 
-    Entries do not talk: each takes its share by the number of entries that
-    the sidecars report to be connected, and the sidecars' fair queues settle
-    what a lopsided balancer leaves uneven.
+    Entries do not coordinate. Each enforces an equal share of the limit, by
+    the number of entries that the sidecars report as connected. The sidecars'
+    fair queues even out what an unbalanced load balancer distributes unevenly.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         self._usage: dict[str, _Usage] = {}
 
     def admit(self, team: str, limit: Limit, now: float) -> Failure | None:
-        """Counts a request in, or returns why it is refused as not run."""
+        """Admits a request, or returns why it is refused without being run."""
         rate = limit.rate / self.entries
         burst = max(1.0, rate * _BURST_S)
         usage = self._usage.get(team)
@@ -69,5 +69,5 @@
         return None
 
     def release(self, team: str) -> None:
-        """Counts a request out."""
+        """Ends an admitted request, so that it no longer counts as running."""
         self._usage[team].running -= 1
--- a/magnolialug/policy/admissionorder.py
+++ b/magnolialug/policy/admissionorder.py
@@ -1,4 +1,4 @@
-"""Order in which waiting prompts are admitted, and which are hopeless."""
+"""Admission order of waiting prompts, and which cannot meet their deadline."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,37 +7,38 @@
 
 __all__ = [
     "GrantRate",
-    "Waiting",
+    "WaitingPrompt",
     "admission_order",
-    "is_hopeless",
-    "patience_s",
+    "cannot_meet_deadline",
+    "caller_timeout_s",
 ]
 
-# Callers abandon a stream after the longest of these without an event: two
-# seconds, four times the target, eight times the longest pause on time. One
-# that is refused before that can come back.
-_LEAST_PATIENCE_S = 2.0
-_TARGETS = 4.0
-_PAUSES = 8.0
-# The rate of grants is taken over this time, and fewer of them than that say
-# nothing.
-_COUNTED_S = 2.0
-_TELLING = 3
-# How far ahead of its time a prompt goes that takes all of an engine's memory.
-# Room for a large one comes seldom; otherwise small ones would always take it.
-_SIZE_S = 5.0
-
-
-class Waiting(msgspec.Struct, frozen=True):
+# Callers abandon a stream after the longest of these times without an event:
+# 2 s, four times the route's target, eight times its longest allowed gap
+# between events. A caller that is refused earlier can retry.
+_MIN_CALLER_TIMEOUT_S = 2.0
+_TIMEOUT_TARGETS = 4.0
+_TIMEOUT_GAPS = 8.0
+# The grant rate is measured over this window. With fewer grants than
+# _MIN_GRANTS in it, the rate is unknown.
+_RATE_WINDOW_S = 2.0
+_MIN_GRANTS = 3
+# How much earlier than its due time a prompt is ordered if it takes all of an
+# engine's memory; smaller prompts in proportion. Enough free memory for a large
+# prompt is rare, and small prompts would otherwise always take it first.
+_SIZE_LEAD_S = 5.0
+
+
+class WaitingPrompt(msgspec.Struct, frozen=True):
     """A prompt in an admission queue.
 
     Attributes:
-      number: in the order of arrival.
+      number: position in the order of arrival.
       priority: 0 is the most urgent.
-      target_at: a first event by then is in time.
-      ends_at: its caller waits no longer than that.
+      target_at: latest time of a first event that is in time, in seconds.
+      ends_at: time at which its caller stops waiting, in seconds.
       size: the share of an engine's memory that it takes.
-      first_event_s: expected from its grant to its first event.
+      first_event_s: expected time from its admission to its first event.
     """
 
     number: int
@@ -48,60 +49,69 @@
     first_event_s: float = 0.35
 
     def is_late(self, now: float) -> bool:
-        """Whether its first event would be late if it were granted now."""
+        """Whether its first event would be late if it were admitted now."""
         return now + self.first_event_s > self.target_at
 
 
 class GrantRate:
-    """The rate of recent grants."""
+    """The rate of recent admissions to one engine."""
 
     def __init__(self) -> None:
         self._at: deque[float] = deque()
 
     def record_grant(self, now: float) -> None:
-        """Counts a grant."""
+        """Records an admission."""
         self._at.append(now)
 
     def per_s(self, now: float) -> float | None:
-        """Returns the grants in a second, None if too few have been seen."""
-        while self._at and now - self._at[0] >= _COUNTED_S:
+        """Returns the grants per second, None with too few in the window."""
+        while self._at and now - self._at[0] >= _RATE_WINDOW_S:
             self._at.popleft()
-        if len(self._at) < _TELLING:
+        if len(self._at) < _MIN_GRANTS:
             return None
-        return len(self._at) / _COUNTED_S
+        return len(self._at) / _RATE_WINDOW_S
 
 
-def patience_s(target_s: float, gap_s: float) -> float:
-    """Returns how long a caller waits for an event before it leaves."""
-    return max(_LEAST_PATIENCE_S, _TARGETS * target_s, _PAUSES * gap_s)
+def caller_timeout_s(target_s: float, gap_s: float) -> float:
+    """Returns how long a caller waits for an event before it disconnects."""
+    return max(
+        _MIN_CALLER_TIMEOUT_S,
+        _TIMEOUT_TARGETS * target_s,
+        _TIMEOUT_GAPS * gap_s,
+    )
 
 
-def admission_order(waiting: Iterable[Waiting], now: float) -> list[Waiting]:
+def admission_order(
+    waiting: Iterable[WaitingPrompt], now: float
+) -> list[WaitingPrompt]:
     """Returns the prompts in the order in which they are admitted.
 
     Prompts that can still be in time go first, the nearest target first; then
-    those that will be late, by when their callers leave. Large ones go ahead of
-    their time. In the order of arrival all would wait for the whole queue, and
-    once it is longer than the target none would be in time.
+    those that will be late, by the time at which their callers disconnect.
+    Large prompts are ordered earlier than their due time. In order of arrival
+    every prompt would wait for the whole queue, and once the queue is longer
+    than the target none would be in time.
     """
 
-    def key(row: Waiting) -> tuple[int, bool, float]:
+    def key(row: WaitingPrompt) -> tuple[int, bool, float]:
         late = row.is_late(now)
         due = row.ends_at if late else row.target_at - row.first_event_s
-        return row.priority, late, due - _SIZE_S * row.size
+        return row.priority, late, due - _SIZE_LEAD_S * row.size
 
     return sorted(waiting, key=key)
 
 
-def is_hopeless(row: Waiting, now: float, ahead: float, per_s: float) -> bool:
-    """Whether a grant will not come while the caller waits.
+def cannot_meet_deadline(
+    row: WaitingPrompt, now: float, ahead: float, per_s: float
+) -> bool:
+    """Whether the prompt will not be admitted before its caller disconnects.
 
-    Only a prompt that will be late is hopeless: one that can still be in time
-    goes ahead of all others, and grants come in bursts. A caller that is
-    refused now has more time left for its retry than one that waits first.
+    Only a prompt that will be late can be refused for this: one that can still
+    be in time goes ahead of all late ones, and grants come in bursts. A caller
+    that is refused at once has more time left for a retry.
 
     Args:
-      ahead: prompts that are admitted before.
-      per_s: grants in a second.
+      ahead: prompts that are admitted before this one.
+      per_s: grants per second.
     """
     return row.is_late(now) and now + (ahead + 1) / per_s > row.ends_at
--- a/magnolialug/policy/lineup.py
+++ b/magnolialug/policy/attemptqueue.py
@@ -1,4 +1,4 @@
-"""Where attempts stand before an endpoint: queued, fetching, ready, running."""
+"""Queue of attempts at an endpoint: queued, fetching, ready, running."""
 
 from collections.abc import Hashable
 from typing import Generic, TypeVar
@@ -8,16 +8,16 @@
 from magnolialug.policy.fairqueue import FairQueue
 from magnolialug.policy.slots import fetch_ahead, slot_free
 
-__all__ = ["Claimant", "Lineup"]
+__all__ = ["AttemptTraits", "AttemptQueue"]
 
 T = TypeVar("T", bound=Hashable)
 
 
-class Claimant(msgspec.Struct, frozen=True):
-    """What the order of attempts depends on.
+class AttemptTraits(msgspec.Struct, frozen=True):
+    """The properties of an attempt that determine its order.
 
     Attributes:
-      tokens: prompt length.
+      tokens: prompt length in tokens.
       priority: 0 for the most urgent kinds.
       share: the team's weight.
     """
@@ -28,16 +28,17 @@
     share: float
 
 
-class Lineup(Generic[T]):
-    """Orders attempts into an endpoint's slots.
+class AttemptQueue(Generic[T]):
+    """Schedules attempts into an endpoint's slots.
 
-    An attempt waits in a fair queue until its cache may be fetched, then,
-    with its cache beside the engine, in a second one until a slot is free.
-    It can be taken back at any time until it runs.
+    An attempt waits in a fair queue until its cached blocks may be fetched.
+    Once they are next to the engine, it waits in a second fair queue until a
+    slot is free. It can be removed at any time until it runs.
 
     Attributes:
-      slots: attempts that run at once.
-      running: slots taken.
+      limit: maximum number of attempts that do not run yet.
+      slots: number of attempts that can run at the same time.
+      running: number of slots in use.
     """
 
     def __init__(self, limit: int, slots: int):
@@ -47,7 +48,7 @@
         self._queue: FairQueue[T] = FairQueue(limit)
         self._ready: FairQueue[T] = FairQueue(limit)
         self._fetching: set[T] = set()
-        self._waiting: dict[T, Claimant] = {}
+        self._waiting: dict[T, AttemptTraits] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -56,16 +57,16 @@
         return item in self._waiting
 
     def full(self) -> bool:
-        """Tells whether another attempt would exceed the limit."""
+        """Whether another attempt would exceed the limit."""
         return len(self._waiting) >= self.limit
 
-    def push(self, item: T, claimant: Claimant) -> None:
+    def push(self, item: T, claimant: AttemptTraits) -> None:
         """Adds an attempt."""
         self._waiting[item] = claimant
-        self._line(self._queue, item, claimant)
+        self._enqueue(self._queue, item, claimant)
 
     def next_to_fetch(self) -> T | None:
-        """Returns an attempt whose cache is to be fetched now."""
+        """Returns the next attempt whose cache is to be fetched, or None."""
         if not len(self._queue):
             return None
         fetching = len(self._fetching) + len(self._ready)
@@ -77,13 +78,13 @@
         return item
 
     def fetched(self, item: T) -> None:
-        """Lines up an attempt whose cache is there, unless taken back."""
+        """Queues an attempt with a fetched cache for a slot, unless removed."""
         if item in self._fetching:
             self._fetching.discard(item)
-            self._line(self._ready, item, self._waiting[item])
+            self._enqueue(self._ready, item, self._waiting[item])
 
     def next_to_run(self) -> T | None:
-        """Returns an attempt that takes a slot now."""
+        """Moves the next attempt into a slot; returns None if none may run."""
         if not len(self._ready):
             return None
         if not slot_free(self.running, self.slots, self._ready.urgency()):
@@ -94,11 +95,11 @@
         return item
 
     def ended(self) -> None:
-        """Takes back a slot."""
+        """Releases a slot."""
         self.running -= 1
 
     def remove(self, item: T) -> bool:
-        """Takes back an attempt that does not run; false if it is not here."""
+        """Removes an attempt that does not run; false if there is none."""
         if self._waiting.pop(item, None) is None:
             return False
         if not self._queue.remove(item) and not self._ready.remove(item):
@@ -119,10 +120,12 @@
         return tuple(sums)
 
     def tokens_before(self, priority: int) -> int:
-        """Returns the tokens that are served before a new attempt."""
+        """Returns the waiting tokens that are served before a new attempt."""
         return sum(self.tokens_by_priority()[: priority + 1])
 
-    def _line(self, queue: FairQueue[T], item: T, claimant: Claimant) -> None:
+    def _enqueue(
+        self, queue: FairQueue[T], item: T, claimant: AttemptTraits
+    ) -> None:
         queue.push(
             item,
             claimant.team,
--- a/magnolialug/policy/coldstart.py
+++ b/magnolialug/policy/coldstart.py
@@ -1,48 +1,49 @@
-"""Bounds the new work of an endpoint that has just started."""
+"""Rate limit for new requests to an endpoint that has just started."""
 
 import math
 
 __all__ = ["ColdStart"]
 
-# For this long a turn may be taken late. A surge takes all turns that are due
-# at the same moment; an endpoint tolerates half as much again as it announces
-# in a second, so the turns of half a second may come besides.
-_TURN_S = 0.5
+# A send slot can be used this long after its time. A surge uses all available
+# slots at the same moment. An endpoint tolerates 1.5 times its announced rate
+# in any second, so the slots of half a second may be used in addition.
+_SEND_GRACE_S = 0.5
 
 
 class ColdStart:
-    """One process's share of what a cold endpoint tolerates.
+    """One process's share of the request rate of a cold endpoint.
 
-    A cold endpoint crashes under more requests than it announces, from all
-    processes together. They would have to agree on each request to use that
-    rate in full, also while they cannot reach each other; so each keeps to an
-    equal share of it, as one turn per interval. Turns of the processes follow
-    each other, because all of them learn of the start at once. A turn that is
-    not taken soon is lost: processes without requests would save theirs up, and
-    a surge would bring them all at the same moment.
+    A cold endpoint crashes if all processes together send it more requests
+    than the rate it announces. To use that rate in full, the processes would
+    have to agree on each request, also while they cannot reach each other. So
+    each process keeps to an equal share: one send slot per interval. The slots
+    of the processes are staggered by their phase, because all processes learn
+    of the start at the same time. A slot that is not used soon expires.
+    Otherwise processes without requests would accumulate slots, and a surge
+    would use all of them at the same moment.
 
     Attributes:
-      interval_s: between two turns of this process, 0 for no limit.
+      interval_s: time between two slots of this process, 0 for no limit.
       length_s: how long endpoints of the service are cold after a start.
-      known_until: when the endpoint stops being cold, as far as that is known
-        and not presumed.
+      confirmed_until: when the endpoint stops being cold, from confirmed
+        starts only, without assumed ones.
     """
 
     def __init__(self):
         self.interval_s = 0.0
         self.length_s = 0.0
-        self.known_until = float("-inf")
+        self.confirmed_until = float("-inf")
         self._phase = 0.0
         self._until = float("-inf")
         self._next_at = float("-inf")
 
     def limit(self, length_s: float, rate: float, phase: float = 0.0) -> None:
-        """Takes the service's traits.
+        """Sets the cold-start parameters of the service.
 
         Args:
           length_s: how long its endpoints are cold after a start.
-          rate: requests a second of this process's share, 0 for no limit.
-          phase: the part of an interval that passes before the first turn.
+          rate: this process's share in requests per second, 0 for no limit.
+          phase: the fraction of an interval that precedes the first slot.
         """
         self.length_s = length_s
         self.interval_s = 1.0 / rate if rate > 0 else 0.0
@@ -52,20 +53,20 @@
         """Whether the endpoint is cold, or may be."""
         return now < self._until
 
-    def begin(self, now: float, left_s: float) -> bool:
-        """Learns that the endpoint is cold for some time.
+    def record_cold(self, now: float, left_s: float) -> bool:
+        """Records a confirmed cold period of `left_s` seconds from now.
 
         Returns:
-          whether that is new.
+          whether the endpoint was not treated as cold before.
         """
-        self.known_until = max(self.known_until, now + left_s)
-        return self.believe(now, left_s)
+        self.confirmed_until = max(self.confirmed_until, now + left_s)
+        return self.assume_cold(now, left_s)
 
-    def believe(self, now: float, left_s: float) -> bool:
-        """Takes the endpoint for cold for some time.
+    def assume_cold(self, now: float, left_s: float) -> bool:
+        """Treats the endpoint as cold for `left_s` seconds from now.
 
         Returns:
-          whether that is new.
+          whether the endpoint was not treated as cold before.
         """
         is_new = not self.is_cold(now)
         if is_new:
@@ -74,39 +75,42 @@
         self._until = max(self._until, now + left_s)
         return is_new
 
-    def presume(self, now: float) -> bool:
-        """Learns that the endpoint may have started a moment ago.
+    def assume_started(self, now: float) -> bool:
+        """Treats the endpoint as cold because it may just have started.
 
-        Its registry entry tells so only with its next heartbeat.
+        Its registry entry shows the start only with the next heartbeat.
+
+        Returns:
+          whether the endpoint was not treated as cold before.
         """
-        return self.length_s > 0 and self.believe(now, self.length_s)
+        return self.length_s > 0 and self.assume_cold(now, self.length_s)
 
     def start(self, now: float) -> bool:
-        """Learns that the endpoint has started, or may have, from the service.
+        """Records a start of the endpoint, by the service's cold period.
 
         Returns:
-          whether that is new.
+          whether the endpoint was not treated as cold before.
         """
-        return self.length_s > 0 and self.begin(now, self.length_s)
+        return self.length_s > 0 and self.record_cold(now, self.length_s)
 
     def may_send(self, now: float) -> bool:
         """Whether this process may send a request now."""
-        return not self.is_cold(now) or now >= self._turn_at(now)
+        return not self.is_cold(now) or now >= self._send_at(now)
 
     def wait_s(self, now: float) -> float:
         """Returns the time until this process may send a request."""
         if self.may_send(now):
             return 0.0
-        return min(self._turn_at(now), self._until) - now
+        return min(self._send_at(now), self._until) - now
 
     def sent(self, now: float) -> None:
-        """Counts a request that is sent."""
-        turn_at = self._turn_at(now) if self.is_cold(now) else now
-        self._next_at = turn_at + self.interval_s
+        """Records a request that is sent, and moves on to the next slot."""
+        send_at = self._send_at(now) if self.is_cold(now) else now
+        self._next_at = send_at + self.interval_s
 
-    def _turn_at(self, now: float) -> float:
-        """Returns when the first turn begins that is not lost."""
-        late_s = now - self._next_at - _TURN_S
+    def _send_at(self, now: float) -> float:
+        """Returns the time of the first slot that has not expired."""
+        late_s = now - self._next_at - _SEND_GRACE_S
         if late_s <= 0 or self.interval_s <= 0:
             return self._next_at
         lost = math.ceil(late_s / self.interval_s)
--- a/magnolialug/policy/endpointledger.py
+++ b/magnolialug/policy/endpointledger.py
@@ -1,11 +1,11 @@
-"""The load ledger of one endpoint, from the reports of all entries."""
+"""Load ledger of one endpoint, from the reports of all entries."""
 
 from collections.abc import Hashable, Mapping, Sequence
 
 import msgspec
 
 from magnolialug.ids import EndpointId
-from magnolialug.policy.admissionqueue import AdmissionQueue, Queued
+from magnolialug.policy.admissionqueue import AdmissionQueue, QueuedPrompt
 from magnolialug.policy.partcache import PartCache
 from magnolialug.policy.prompt import Part
 from magnolialug.policy.readingtime import PRIORITIES, reading_s
@@ -13,53 +13,55 @@
     EndpointState,
     Placement,
     WorkShare,
-    summed,
+    sum_by_priority,
 )
 
-__all__ = ["HEADROOM", "SHARE_TRUST_S", "EndpointLedger"]
+__all__ = ["HEADROOM", "SHARE_TIMEOUT_S", "EndpointLedger"]
 
-# Left free beside a large prompt, because answers grow longer than expected.
-# Little is needed: what is read and written is reported within milliseconds.
+# Share of memory left free when a large prompt is admitted, because responses
+# grow longer than expected. A small share is enough: what engines prefill and
+# generate is reported within milliseconds.
 HEADROOM = 0.02
-# Left free beside a large prompt that will be late, for about one that arrives
-# meanwhile and can still be in time.
+# Share of memory left free when the large prompt will be late: enough for about
+# one prompt that arrives meanwhile and can still be in time.
 _LATE_HEADROOM = 0.12
-# What is promised to a prompt is kept for it this long: it takes two crossings
-# of the network until its request is told of.
-_PROMISE_S = 0.06
+# Memory is reserved for an admitted prompt for this long: its request shows up
+# in a load report after two network transits.
+_RESERVATION_S = 0.06
 
-# Shares are repeated twice a second; three lost in a row mean that their entry
+# Shares are reported twice a second. Three lost in a row mean that their entry
 # is gone or cut off.
-SHARE_TRUST_S = 1.8
-# Engines with running requests send something every few dozen milliseconds
-# to somebody. Entries that have work there and all hear nothing for this long
-# mean that it is dead: a repeat of the shares, and half a second in which any
-# of its streams would have had ten events.
+SHARE_TIMEOUT_S = 1.8
+# An engine with running requests sends data to some entry every few dozen
+# milliseconds. If none of the entries with requests there receives anything for
+# this long, the engine is dead. The time covers one report interval of the
+# shares and half a second, in which any of its streams would have had ten
+# events.
 _SILENT_S = 1.0
 
 
-class _Told(msgspec.Struct):
+class _ReportedShare(msgspec.Struct):
     share: WorkShare
     at: float
 
 
-class _Promise(msgspec.Struct):
+class _Reservation(msgspec.Struct):
     """Memory that is reserved for a prompt that has been admitted."""
 
-    row: Queued
+    row: QueuedPrompt
     until: float
 
 
 class EndpointLedger:
-    """Adds up the shares of all entries at one endpoint.
+    """Adds up the work of all entries at one endpoint.
 
-    Entries that choose engines without knowing each other's work pile it up
-    on those that look idle to all of them at once.
+    Entries that choose engines without knowing each other's work overload those
+    that look idle to all of them at once.
 
     Attributes:
-      memory: its tokens, 0 for a plain service.
-      born_ms: the start of the endpoint that this is known of.
-      parts: what its memory is believed to hold.
+      memory: capacity of its memory in tokens, 0 for a plain service.
+      born_ms: the start of the endpoint that the ledger is about.
+      parts: estimate of the prompt parts that its memory holds.
       queue: the prompts that wait for its memory.
     """
 
@@ -69,60 +71,62 @@
         self.born_ms = born_ms
         self.parts = PartCache(memory)
         self.queue = AdmissionQueue()
-        self._told: dict[str, _Told] = {}
-        self._promises: dict[Hashable, _Promise] = {}
+        self._shares: dict[str, _ReportedShare] = {}
+        self._reservations: dict[Hashable, _Reservation] = {}
         self._weights: dict[str, int] = {}
-        self._least: dict[str, int] = {}
-        self._heard_at = float("-inf")
+        self._min_weights: dict[str, int] = {}
+        self._last_contact_at = float("-inf")
         self._cold_until = float("-inf")
 
-    def told(self, entry: str, share: WorkShare, now: float) -> None:
-        """Records an entry's share, which replaces the one before."""
-        self._heard_at = max(self._heard_at, now - share.heard_ms / 1000)
-        self.knows(share.weights)
-        _raise(self._least, share.least)
-        self.knows_cold(now + share.cold_ms / 1000)
+    def record_share(self, entry: str, share: WorkShare, now: float) -> None:
+        """Records an entry's share, which replaces its previous one."""
+        self._last_contact_at = max(
+            self._last_contact_at, now - share.last_contact_ms / 1000
+        )
+        self.record_weights(share.weights)
+        _update_newest(self._min_weights, share.min_weights)
+        self.record_cold_until(now + share.cold_ms / 1000)
         if share.running:
-            self._told[entry] = _Told(share, now)
+            self._shares[entry] = _ReportedShare(share, now)
         else:
-            self._told.pop(entry, None)
+            self._shares.pop(entry, None)
 
-    def knows(self, weights: Mapping[str, int]) -> None:
-        """Takes the versions that somebody knows the endpoint to have."""
-        _raise(self._weights, weights)
+    def record_weights(self, weights: Mapping[str, int]) -> None:
+        """Records weight versions that the endpoint is known to have."""
+        _update_newest(self._weights, weights)
 
-    def knows_cold(self, until: float) -> None:
-        """Takes until when somebody knows the endpoint to be cold."""
+    def record_cold_until(self, until: float) -> None:
+        """Records the time until which the endpoint is known to be cold."""
         self._cold_until = max(self._cold_until, until)
 
-    def placed(self, placement: Placement) -> None:
-        """Counts the parts of a prompt as held from now on."""
+    def record_placement(self, placement: Placement) -> None:
+        """Counts the parts of a prompt as cached from now on."""
         self.parts.keep(placement.salt, placement.parts)
 
-    def forget_old(self, now: float) -> None:
-        """Drops what entries have told that have not been heard for long."""
-        for entry, row in list(self._told.items()):
-            if now - row.at > SHARE_TRUST_S:
-                del self._told[entry]
-        for ticket, promise in list(self._promises.items()):
-            if now >= promise.until:
-                del self._promises[ticket]
-        self.queue.forget_silent(now)
-
-    def idle(self) -> bool:
+    def drop_expired(self, now: float) -> None:
+        """Drops expired shares, reservations and queued prompts."""
+        for entry, row in list(self._shares.items()):
+            if now - row.at > SHARE_TIMEOUT_S:
+                del self._shares[entry]
+        for ticket, reservation in list(self._reservations.items()):
+            if now >= reservation.until:
+                del self._reservations[ticket]
+        self.queue.drop_expired(now)
+
+    def is_idle(self) -> bool:
         """Whether no entry has reported any work."""
-        return not self._told
+        return not self._shares
 
-    def leave(self, ticket: Hashable) -> None:
+    def remove_prompt(self, ticket: Hashable) -> None:
         """Removes a prompt from the queue, and frees its reservation."""
         self.queue.drop(ticket)
-        self._promises.pop(ticket, None)
+        self._reservations.pop(ticket, None)
 
-    def has_promised(self, ticket: Hashable) -> bool:
+    def has_reservation(self, ticket: Hashable) -> bool:
         """Whether memory is reserved for a prompt."""
-        return ticket in self._promises
+        return ticket in self._reservations
 
-    def grant_next(self, now: float, rate: float) -> Queued | None:
+    def grant_next(self, now: float, rate: float) -> QueuedPrompt | None:
         """Admits the next prompt and reserves memory for it.
 
         Args:
@@ -130,7 +134,9 @@
         """
         row = self.queue.take_next(now, lambda row: self._fits(row, now, rate))
         if row is not None:
-            self._promises[row.ticket] = _Promise(row, now + _PROMISE_S)
+            self._reservations[row.ticket] = _Reservation(
+                row, now + _RESERVATION_S
+            )
         return row
 
     def state(
@@ -140,59 +146,65 @@
         salt: str = "",
         parts: Sequence[Part] = (),
     ) -> EndpointState:
-        """Returns what the endpoint has to do for all but one entry.
+        """Returns the load of the endpoint from all entries but one.
 
         Args:
-          client: knows its own share better than is known here.
-          parts: of the prompt that is to be placed.
+          client: the entry that asks; its own share is left out, because it
+            knows that better.
+          parts: the parts of the prompt that is to be placed.
         """
         others = [
-            row.share for entry, row in self._told.items() if entry != client
+            row.share for entry, row in self._shares.items() if entry != client
+        ]
+        reserved = [
+            reservation.row for reservation in self._reservations.values()
         ]
-        promised = [promise.row for promise in self._promises.values()]
-        reading = [share.reading for share in others]
-        reading += [_reading_of(row) for row in promised]
+        pending_prefill = [share.pending_prefill for share in others]
+        pending_prefill += [_prefill_of(row) for row in reserved]
         return EndpointState(
             endpoint=self.endpoint,
-            reading=summed(reading),
+            pending_prefill=sum_by_priority(pending_prefill),
             held=sum(share.held for share in others)
-            + sum(row.tokens for row in promised),
-            running=sum(share.running for share in others) + len(promised),
-            found=self.parts.leading(salt, parts),
+            + sum(row.tokens for row in reserved),
+            running=sum(share.running for share in others) + len(reserved),
+            cached_parts=self.parts.leading(salt, parts),
             silent=self.is_silent(now),
             waiting=len(self.queue),
             born_ms=self.born_ms,
             weights=dict(self._weights),
-            least={
+            min_weights={
                 model: version
-                for model, version in self._least.items()
+                for model, version in self._min_weights.items()
                 if version > self._weights.get(model, 0)
             },
             cold_ms=round(max(0.0, self._cold_until - now) * 1000),
         )
 
     def is_silent(self, now: float) -> bool:
-        """Whether work waits for a first or a further byte for too long.
+        """Whether requests have waited for any byte of it for too long.
 
-        A request that was just sent says nothing, and an engine that was
-        heard by anybody is alive, whoever else waits in its queue.
+        Time counts from the oldest request in the shares, because one that was
+        just sent proves nothing. An engine that has sent data to any entry is
+        alive, whichever other requests wait in its queue.
         """
         sent_at = min(
             (
                 row.at - row.share.oldest_ms / 1000
-                for row in self._told.values()
+                for row in self._shares.values()
             ),
             default=now,
         )
-        return now - max(sent_at, self._heard_at) >= _SILENT_S
+        return now - max(sent_at, self._last_contact_at) >= _SILENT_S
 
-    def _fits(self, row: Queued, now: float, rate: float) -> bool:
-        """Whether there is room for a prompt, and it is read soon enough."""
+    def _fits(self, row: QueuedPrompt, now: float, rate: float) -> bool:
+        """Whether a prompt has room, and its prefill can start soon enough."""
         state = self.state("", now)
         if not state.held:
             return True
         priority = row.waiting.priority
-        ahead_s = reading_s(state.reading, state.running, priority, rate)
+        ahead_s = reading_s(
+            state.pending_prefill, state.running, priority, rate
+        )
         if ahead_s > row.ahead_s:
             return False
         headroom = _LATE_HEADROOM if row.waiting.is_late(now) else HEADROOM
@@ -200,11 +212,13 @@
         return room >= headroom
 
 
-def _raise(versions: dict[str, int], told: Mapping[str, int]) -> None:
-    for model, version in told.items():
+def _update_newest(
+    versions: dict[str, int], versions_reported: Mapping[str, int]
+) -> None:
+    for model, version in versions_reported.items():
         versions[model] = max(version, versions.get(model, 0))
 
 
-def _reading_of(row: Queued) -> tuple[int, ...]:
+def _prefill_of(row: QueuedPrompt) -> tuple[int, ...]:
     place = min(row.waiting.priority, PRIORITIES - 1)
     return (0,) * place + (row.unread,)
--- a/magnolialug/policy/engineload.py
+++ b/magnolialug/policy/engineload.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the work and the cache of a model engine."""
+"""One entry's estimate of the load and the cache of a model engine."""
 
 import msgspec
 
@@ -6,33 +6,40 @@
 from magnolialug.policy.partcache import PartCache
 from magnolialug.policy.prompt import Prompt
 from magnolialug.policy.readingtime import PRIORITIES, reading_s
-from magnolialug.policy.sharedload import EndpointState, WorkShare, summed
+from magnolialug.policy.sharedload import (
+    EndpointState,
+    WorkShare,
+    sum_by_priority,
+)
 
 __all__ = ["EngineLoad", "Placed"]
 
-# Prompt tokens an engine is taken to read in a second before any answer tells,
-# between the steps of running requests.
-_FIRST_RATE = 75_000.0
-_SLOWEST_RATE = 5_000.0
-_FASTEST_RATE = 120_000.0
-# Time from the last prompt token read to the first event at the caller.
+# Prompt tokens that an engine is assumed to prefill per second, between the
+# steps of running requests, until the first response gives a measurement; and
+# the bounds of a measurement.
+_INITIAL_RATE = 75_000.0
+_MIN_RATE = 5_000.0
+_MAX_RATE = 120_000.0
+# Time from the end of the prefill to the first event at the caller.
 _FIRST_EVENT_S = 0.09
-# Weight of the newest answer in the learned rate.
-_NEWEST = 0.1
-# Prompts shorter than this say little of the rate.
-_TELLING_TOKENS = 2_000
-# What the others do at an engine counts for this long after it was told. Long
-# prompts are read within it, so older word says little of the queue.
-_STATE_TRUST_S = 0.5
+# Weight of the newest response in the measured prefill rate.
+_RATE_SMOOTHING = 0.1
+# Shorter prompts are no reliable measurement of the rate.
+_MIN_SAMPLE_TOKENS = 2_000
+# The reported load from other entries is used for this long. Even long prompts
+# are prefilled within it, so an older report says little about the queue.
+_STATE_MAX_AGE_S = 0.5
 
 
 class Placed(msgspec.Struct):
     """One attempt at an engine.
 
     Attributes:
-      unread: prompt tokens that it will have to read.
+      unread: prompt tokens that the engine has to prefill for it.
       held: tokens of memory that it takes while it runs.
-      reading: whether its first event has not come yet.
+      sent_at: time when it was sent, in seconds.
+      ahead_s: expected wait before its own prefill when it was sent.
+      in_prefill: whether its first event has not come yet.
     """
 
     priority: int
@@ -40,65 +47,67 @@
     held: int
     sent_at: float
     ahead_s: float
-    reading: bool = True
+    in_prefill: bool = True
 
 
 class EngineLoad:
-    """Beliefs about one engine, from what was sent and what came back.
+    """Load estimate of one engine, from its own requests and reports of others.
 
     Attributes:
-      memory: tokens that running requests and cached parts share.
-      rate: prompt tokens read in a second, as learned.
+      memory: capacity in tokens, shared by running requests and cached parts.
+      rate: estimated prefill rate in prompt tokens per second.
     """
 
     def __init__(self, memory: int, slots: int):
         self.memory = memory
         self.slots = slots
-        self.rate = _FIRST_RATE
+        self.rate = _INITIAL_RATE
         self._others: EndpointState | None = None
         self._others_at = float("-inf")
         self._running: dict[str, Placed] = {}
         self._parts = PartCache(memory)
-        # What is to be read in all, None when that has changed: it is asked
-        # for several times for each choice.
-        self._all_reading: tuple[int, ...] | None = None
+        # Cached sum of all pending prefill, None after a change: each placement
+        # decision needs it several times.
+        self._total_pending_prefill: tuple[int, ...] | None = None
 
     @property
     def running(self) -> int:
-        """Own attempts under way."""
+        """Number of this entry's attempts in progress."""
         return len(self._running)
 
     def leading(self, salt: str, prompt: Prompt) -> int:
-        """Returns how many of a prompt's first parts were sent from here."""
+        """Returns how many leading parts of a prompt this entry sent there."""
         return self._parts.leading(salt, prompt.shared)
 
-    def elsewhere(self, state: EndpointState, now: float) -> None:
-        """Takes what the engine has to do for the other entries."""
+    def record_others(self, state: EndpointState, now: float) -> None:
+        """Records the engine's load from the other entries."""
         self._others = state
         self._others_at = now
-        self._all_reading = None
+        self._total_pending_prefill = None
 
     def tick(self, now: float) -> None:
-        """Forgets what was told of the others long ago."""
-        if self._others and now - self._others_at > _STATE_TRUST_S:
+        """Drops the load from other entries once it is too old."""
+        if self._others and now - self._others_at > _STATE_MAX_AGE_S:
             self._others = None
-            self._all_reading = None
+            self._total_pending_prefill = None
 
     def ahead_s(self, priority: int) -> float:
-        """Returns how long the engine reads before a new prompt's turn."""
-        reading = self._all_reading
-        if reading is None:
-            reading = self._reading()
+        """Returns the expected wait before a new prompt's prefill starts."""
+        pending_prefill = self._total_pending_prefill
+        if pending_prefill is None:
+            pending_prefill = self._pending_prefill()
             if self._others is not None:
-                reading = summed((reading, self._others.reading))
-            self._all_reading = reading
+                pending_prefill = sum_by_priority(
+                    (pending_prefill, self._others.pending_prefill)
+                )
+            self._total_pending_prefill = pending_prefill
         running = len(self._running)
         if self._others is not None:
             running += self._others.running
-        return reading_s(reading, running, priority, self.rate)
+        return reading_s(pending_prefill, running, priority, self.rate)
 
     def room(self, tokens: int) -> float:
-        """Returns the free share of memory after a request of that size."""
+        """Returns the share of memory left free by a request of that size."""
         held = sum(placed.held for placed in self._running.values())
         if self._others is not None:
             held += self._others.held
@@ -111,45 +120,48 @@
     def share(
         self,
         endpoint: EndpointId,
-        heard_at: float,
+        last_contact_at: float,
         now: float,
         born_ms: int,
         weights: dict[str, int],
-        least: dict[str, int],
+        min_weights: dict[str, int],
         cold_ms: int = 0,
     ) -> WorkShare:
-        """Returns this entry's own work, as it is told to others.
+        """Returns this entry's own work, for its load report.
 
         Args:
-          heard_at: when the engine's last byte came.
-          weights: the versions that it is known to have.
-          least: the oldest ones that it can have, where that is not known.
-          cold_ms: for how much longer it is known to be cold.
+          last_contact_at: when the last byte from the engine arrived.
+          weights: the versions that the engine is known to have, by model.
+          min_weights: the oldest version that it can have, by model, where
+            the version is not known.
+          cold_ms: remaining time for which it is known to be cold.
         """
         rows = self._running.values()
         oldest_at = min((placed.sent_at for placed in rows), default=now)
         return WorkShare(
             endpoint=endpoint,
-            reading=self._reading(),
+            pending_prefill=self._pending_prefill(),
             held=sum(placed.held for placed in rows),
             running=len(self._running),
-            heard_ms=_ms(now - heard_at),
+            last_contact_ms=_ms(now - last_contact_at),
             oldest_ms=_ms(now - oldest_at),
             born_ms=born_ms,
             weights=weights,
-            least=least,
+            min_weights=min_weights,
             cold_ms=cold_ms,
         )
 
-    def _reading(self) -> tuple[int, ...]:
-        """Returns own prompt tokens to be read, by priority."""
-        reading = [0] * PRIORITIES
+    def _pending_prefill(self) -> tuple[int, ...]:
+        """Returns this entry's prompt tokens to be prefilled, by priority."""
+        pending_prefill = [0] * PRIORITIES
         for placed in self._running.values():
-            if placed.reading:
-                reading[min(placed.priority, PRIORITIES - 1)] += placed.unread
-        while reading and not reading[-1]:
-            reading.pop()
-        return tuple(reading)
+            if placed.in_prefill:
+                pending_prefill[min(placed.priority, PRIORITIES - 1)] += (
+                    placed.unread
+                )
+        while pending_prefill and not pending_prefill[-1]:
+            pending_prefill.pop()
+        return tuple(pending_prefill)
 
     def sent(
         self,
@@ -160,7 +172,7 @@
         priority: int,
         now: float,
     ) -> None:
-        """Counts an attempt, and its parts as cached from now on."""
+        """Records an attempt that was sent, and its parts as cached."""
         self._running[name] = Placed(
             priority=priority,
             unread=unread,
@@ -168,31 +180,31 @@
             sent_at=now,
             ahead_s=self.ahead_s(priority),
         )
-        self._all_reading = None
+        self._total_pending_prefill = None
         self._parts.keep(salt, prompt.shared)
 
     def first_event(self, name: str, now: float) -> None:
-        """Learns from the time that the first event took."""
+        """Updates the prefill rate from the time to the first event."""
         placed = self._running.get(name)
-        if placed is None or not placed.reading:
+        if placed is None or not placed.in_prefill:
             return
-        placed.reading = False
-        self._all_reading = None
+        placed.in_prefill = False
+        self._total_pending_prefill = None
         took = now - placed.sent_at - _FIRST_EVENT_S - placed.ahead_s
-        if placed.unread < _TELLING_TOKENS or took <= 0:
+        if placed.unread < _MIN_SAMPLE_TOKENS or took <= 0:
             return
-        rate = min(_FASTEST_RATE, max(_SLOWEST_RATE, placed.unread / took))
-        self.rate += _NEWEST * (rate - self.rate)
+        rate = min(_MAX_RATE, max(_MIN_RATE, placed.unread / took))
+        self.rate += _RATE_SMOOTHING * (rate - self.rate)
 
     def ended(self, name: str) -> None:
-        """Counts an attempt out."""
+        """Removes an attempt that has ended."""
         self._running.pop(name, None)
-        self._all_reading = None
+        self._total_pending_prefill = None
 
 
-_LONGEST_MS = 60_000
+_MAX_AGE_MS = 60_000
 
 
 def _ms(seconds: float) -> int:
-    """Returns whole milliseconds, a minute at most."""
-    return int(min(_LONGEST_MS, seconds * 1000))
+    """Returns whole milliseconds, capped at one minute."""
+    return int(min(_MAX_AGE_MS, seconds * 1000))
--- a/magnolialug/policy/evacuation.py
+++ b/magnolialug/policy/evacuation.py
@@ -1,4 +1,4 @@
-"""The evacuated availability zones as of one moment."""
+"""Snapshot of the evacuated availability zones."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
 
 class EvacuatedZones(msgspec.Struct, frozen=True, array_like=True):
-    """All evacuated zones.
+    """All evacuated zones as of one revision.
 
     Attributes:
-      revision: of the key-value service, up to which this is known.
+      revision: revision of the key-value service that the snapshot reflects.
     """
 
     zones: tuple[ZoneId, ...] = ()
--- a/magnolialug/policy/fairqueue.py
+++ b/magnolialug/policy/fairqueue.py
@@ -1,4 +1,4 @@
-"""A bounded queue that is fair between teams by tokens, urgent kinds first."""
+"""A bounded fair queue of teams by tokens, urgent kinds first."""
 
 from typing import Generic, TypeVar
 
@@ -12,10 +12,10 @@
 class FairQueue(Generic[T]):
     """Start-time fair queueing within each priority.
 
-    Every item costs its tokens divided by its team's share. A team's next
-    item starts where its last one ends or at the queue's current time,
-    whichever is later, so a team that floods the queue waits behind its own
-    items and delays the others by one item at most.
+    The cost of an item is its tokens divided by its team's share. The virtual
+    start time of a team's next item is the end of its previous one or the
+    queue's current virtual time, whichever is later. So a team that floods the
+    queue waits behind its own items and delays the others by one item at most.
     """
 
     def __init__(self, limit: int):
@@ -29,7 +29,7 @@
         return len(self._items)
 
     def full(self) -> bool:
-        """Tells whether another item would exceed the limit."""
+        """Whether another item would exceed the limit."""
         return len(self._items) >= self.limit
 
     def push(
@@ -52,7 +52,7 @@
         return item
 
     def remove(self, item: T) -> bool:
-        """Removes an item wherever it stands; false if it is not there."""
+        """Removes an item at any position; false if it is not queued."""
         for row in self._items:
             if row[-1] is item:
                 self._items.remove(row)
--- a/magnolialug/policy/load.py
+++ b/magnolialug/policy/load.py
@@ -1,4 +1,4 @@
-"""What an entry believes of an endpoint's load."""
+"""An entry's estimate of an endpoint's load."""
 
 from collections.abc import Mapping
 
@@ -15,26 +15,27 @@
     "sent",
 ]
 
-_OWN_DECAY_S = 2.0
+_OWN_WORK_MAX_AGE_S = 2.0
 
 
 class EndpointView(msgspec.Struct):
     """One endpoint as seen from one entry.
 
     Attributes:
-      slots: attempts the endpoint runs at once.
+      slots: attempts that the endpoint can run at the same time.
       cache_tokens: size of its prefix cache.
       queued_by_priority: prompt tokens waiting, by priority number.
-      prefill_rate: prompt tokens a second.
-      run_s: learned time that one attempt occupies a slot, in seconds.
+      prefill_rate: prompt tokens per second.
+      run_s: estimated time that one attempt occupies a slot, in seconds.
       filled: tokens put into the engine's cache since its start.
       epoch: its cache epoch.
-      clock_offset: its monotonic clock minus ours when last heard.
-      heard_at: our clock when its last status came.
-      own_tokens: tokens sent by us that no status has counted yet.
-      own_attempts: the same in attempts.
-      own_at: when we last sent some.
-      slow_start: 0 to 1, how much of its capacity a returner is trusted with.
+      clock_offset: its monotonic clock minus this entry's, as of its last
+        status.
+      heard_at: time on this entry's clock when its last status arrived.
+      own_tokens: tokens that this entry has sent and no status counts yet.
+      own_attempts: attempts that this entry has sent and no status counts yet.
+      own_at: time on this entry's clock when it last sent an attempt.
+      slow_start: usable share of its capacity after it has returned, 0 to 1.
     """
 
     endpoint: EndpointId
@@ -59,10 +60,10 @@
 
 
 def sent(view: EndpointView, tokens: int, now: float) -> None:
-    """Counts an attempt just sent, before any status can tell of it.
+    """Counts an attempt that was just sent and is in no status yet.
 
-    Statuses lag. Between two of them a burst would all go to the endpoint
-    that looked idle; one would notice a queue there beside idle neighbours.
+    Statuses lag. Without this, a whole burst between two statuses would go to
+    the endpoint that looked idle, and queue there while others are idle.
     """
     view.own_tokens += tokens
     view.own_attempts += 1
@@ -74,12 +75,13 @@
 ) -> tuple[int, ...]:
     """Returns the tokens before a new prompt's own, by priority.
 
-    Prompts that were handed over but have no first word yet are still in the
-    way of others of their priority, though no longer in the queue.
+    Prompts that were handed to the engine but have no first token yet still
+    delay others of their priority, although they are no longer in the queue.
 
     Args:
       queued: tokens in the sidecar's queue, by priority.
-      prefilling: tokens at the endpoint without a first word, by priority.
+      prefilling: tokens of prompts at the engine without a first token, by
+        priority.
     """
     size = max(len(queued), max(prefilling, default=-1) + 1)
     return tuple(
@@ -89,16 +91,16 @@
 
 
 def clear_unreported(view: EndpointView) -> None:
-    """Forgets what was sent, since a status now counts it."""
+    """Resets the counts of attempts sent, since a status now counts them."""
     view.own_tokens = 0
     view.own_attempts = 0
 
 
 def queue_seconds(view: EndpointView, priority: int, now: float) -> float:
-    """Returns the expected wait before the endpoint starts on a new prompt."""
+    """Returns the expected wait for the start of a new prompt, in seconds."""
     own_tokens = view.own_tokens
     own_attempts = view.own_attempts
-    if now - view.own_at > _OWN_DECAY_S:
+    if now - view.own_at > _OWN_WORK_MAX_AGE_S:
         own_tokens = own_attempts = 0
     ahead = sum(view.queued_by_priority[: priority + 1]) + own_tokens
     rate = view.prefill_rate * max(0.05, view.slow_start)
--- a/magnolialug/policy/logbounds.py
+++ b/magnolialug/policy/loglimiter.py
@@ -1,17 +1,17 @@
-"""How many log lines a process may write."""
+"""Rate limit for the log lines of a process."""
 
 import enum
 
 import msgspec
 
-__all__ = ["Grade", "LogBounds"]
+__all__ = ["Grade", "LogLimiter"]
 
 
 class Grade(enum.Enum):
-    """How dearly a line is missed.
+    """Importance of a log line.
 
-    DETAIL: what happens with every request.
-    KEPT: what explains a failure or changes what the process believes.
+    DETAIL: written for every request.
+    KEPT: explains a failure, or a change in what the process knows of others.
     """
 
     DETAIL = "detail"
@@ -25,15 +25,15 @@
     at: float = 0.0
 
 
-class LogBounds:
+class LogLimiter:
     """A token bucket for each grade.
 
-    At 50 requests a second, the load of a day here, a process writes some
-    200 detail lines a second, and a line costs some 20 us: the bounds leave
-    twice that, and keep ten times the load under 3% of a core.
+    At 50 requests per second, a usual daily load, a process writes about 200
+    detail lines per second, and a line costs about 20 us. The limits allow
+    twice that rate, and keep the cost at ten times the load under 3% of a core.
 
     Attributes:
-      dropped: lines left out since they were last told.
+      dropped: lines dropped since they were last reported.
     """
 
     def __init__(self, detail_per_s: float = 400.0, kept_per_s: float = 400.0):
@@ -44,7 +44,7 @@
         }
 
     def take(self, grade: Grade, now: float) -> bool:
-        """Whether a line may be written now; counts it if not."""
+        """Whether a line may be written now; counts it as dropped if not."""
         bucket = self._buckets[grade]
         passed = max(0.0, now - bucket.at)
         bucket.left = min(bucket.burst, bucket.left + passed * bucket.rate)
@@ -55,7 +55,7 @@
         bucket.left -= 1.0
         return True
 
-    def told(self) -> int:
-        """Returns the lines left out since the last call."""
+    def take_dropped(self) -> int:
+        """Returns the number of lines dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/magnolialug/policy/membership.py
+++ b/magnolialug/policy/membership.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get work, from the lagging list and connections."""
+"""Endpoint membership, from the configured list and connection states."""
 
 import enum
 from collections.abc import Iterable
@@ -10,11 +10,11 @@
 __all__ = ["MemberState", "Members"]
 
 _SLOW_START_S = 10.0
-_EJECTED_SHARE = 0.34
+_MAX_EJECTED_SHARE = 0.34
 
 
 class MemberState(enum.Enum):
-    """What an entry makes of an endpoint."""
+    """State of an endpoint as one entry sees it."""
 
     UNKNOWN = "unknown"
     UP = "up"
@@ -31,19 +31,19 @@
 class Members:
     """Membership as one entry sees it.
 
-    The list lags, so a connection's word beats it: a drain notice makes an
-    endpoint leaving at once, a lost or silent connection makes it suspect
-    until it answers again. If a switch takes this entry off the network, all
-    endpoints look dead at once; ejecting them all would turn a short fault
-    into a full outage, so of each service only a share may be held back for
-    suspicion, and beyond it suspects stay eligible.
+    The list lags, so the state of the connection takes precedence. A drain
+    notice makes an endpoint leaving at once. A lost or silent connection makes
+    it suspect until it answers again. If a switch cuts this entry off the
+    network, all endpoints look dead at once, and ejecting them all would turn a
+    short fault into a full outage. So only a share of each service's endpoints
+    may be ejected as suspect; beyond it, suspects stay eligible.
     """
 
     def __init__(self) -> None:
         self._members: dict[EndpointId, _Member] = {}
 
     def listed(self, endpoints: Iterable[EndpointId]) -> None:
-        """Takes the members that the configuration or the list names."""
+        """Replaces the set of members by those in the configuration or list."""
         named = set(endpoints)
         for gone in set(self._members) - named:
             del self._members[gone]
@@ -68,14 +68,14 @@
             member.first = False
 
     def leaving(self, endpoint: EndpointId) -> None:
-        """Records an endpoint's own word that it drains."""
+        """Records a drain notice of an endpoint."""
         member = self._members.get(endpoint)
         if member:
             member.state = MemberState.LEAVING
             member.first = False
 
     def state(self, endpoint: EndpointId) -> MemberState:
-        """Returns what is made of an endpoint."""
+        """Returns the state of an endpoint."""
         member = self._members.get(endpoint)
         return member.state if member else MemberState.UNKNOWN
 
@@ -88,13 +88,13 @@
             for e in pool
             if self.state(e) in (MemberState.SUSPECT, MemberState.UNKNOWN)
         ]
-        allowed = int(len(pool) * _EJECTED_SHARE)
+        allowed = int(len(pool) * _MAX_EJECTED_SHARE)
         if len(held) > max(1, allowed) or not good:
             good.update(held)
         return good
 
     def slow_start(self, endpoint: EndpointId, now: float) -> float:
-        """Returns how much of its capacity an endpoint is trusted with."""
+        """Returns the share of its capacity that an endpoint may use."""
         member = self._members.get(endpoint)
         if member is None:
             return 0.1
--- a/magnolialug/policy/oldweights.py
+++ b/magnolialug/policy/oldweights.py
@@ -1,4 +1,4 @@
-"""Which versions of a model no engine has any more."""
+"""Tracks which weight versions of a model no engine uses any more."""
 
 from collections.abc import Iterable
 
@@ -8,12 +8,13 @@
 
 __all__ = ["EngineWeights", "OldWeights"]
 
-# An engine that is no longer listed counts for this much longer: its entry can
-# lapse while it serves on, and it comes back with the weights that it had.
-_REMEMBERED_S = 10.0
-# A fetch may last for 1.6 s after its store's last word. Parts of a version
-# are left alone for longer than that after the last engine has given it up.
-_SETTLED_S = 2.2
+# An engine that is no longer listed counts for this much longer: its registry
+# entry can expire while it continues to serve, and it is listed again with the
+# weights that it had.
+_UNLISTED_GRACE_S = 10.0
+# A fetch may last for 1.6 s after its store's last reply. Parts of a version
+# are kept for longer than that after the last engine has stopped using it.
+_FETCH_GRACE_S = 2.2
 
 
 class EngineWeights(msgspec.Struct, frozen=True):
@@ -30,34 +31,35 @@
 
 
 class OldWeights:
-    """Tells which weights are out of use for good.
+    """Determines which weights are permanently out of use.
 
-    Parts made under them fill stores that drop nothing by themselves: after
-    two new versions half of what was to be kept found no room, and was read
-    again. But a part may not be freed while an engine might still fetch it,
-    and only an engine with the same weights does.
+    Cached parts of unused versions fill up stores, which evict nothing by
+    themselves: after two new versions, half of the parts to be saved found no
+    room, and their prompts were prefilled again. But a part must not be freed
+    while an engine may still fetch it, and only an engine with the same weights
+    fetches it.
     """
 
     def __init__(self) -> None:
         self._rows: dict[tuple[EndpointId, str], _Row] = {}
         self._oldest: dict[str, tuple[int, float]] = {}
 
-    def seen(self, engines: Iterable[EngineWeights], now: float) -> None:
-        """Takes what all listed engines have at the moment."""
+    def update(self, engines: Iterable[EngineWeights], now: float) -> None:
+        """Records the versions that all listed engines have now."""
         for engine in engines:
             key = (engine.endpoint, engine.model)
             self._rows[key] = _Row(engine.version, now)
         for key, row in list(self._rows.items()):
-            if now - row.seen_at > _REMEMBERED_S:
+            if now - row.seen_at > _UNLISTED_GRACE_S:
                 del self._rows[key]
         for model, version in self._found().items():
             if version != self._oldest.get(model, (None, 0.0))[0]:
                 self._oldest[model] = (version, now)
 
     def unused_below(self, model: str, now: float) -> int:
-        """Returns the version below which no engine has or fetches any."""
+        """Returns the version below which no version is in use or fetched."""
         version, since = self._oldest.get(model, (0, now))
-        return version if now - since >= _SETTLED_S else 0
+        return version if now - since >= _FETCH_GRACE_S else 0
 
     def _found(self) -> dict[str, int]:
         oldest: dict[str, int] = {}
--- a/magnolialug/policy/placement.py
+++ b/magnolialug/policy/placement.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a prompt, and where its cache should come from."""
+"""Selects the endpoint for a prompt and the source of its cached tokens."""
 
 import enum
 from collections.abc import Callable
@@ -23,13 +23,13 @@
 ]
 
 _FIRST_CANDIDATES = 3
-_SPILL_S = 0.25
-_ORDER_PENALTY_S = 0.01
-_RETRY_HINT_FLOOR_S = 0.5
+_SPILL_QUEUE_S = 0.25
+_RING_RANK_PENALTY_S = 0.01
+_MIN_RETRY_AFTER_S = 0.5
 
 
 class Source(enum.Enum):
-    """Where most of a prompt's cache is expected to come from."""
+    """Expected source of most of a prompt's cached tokens."""
 
     ENGINE = "engine"
     MEMORY = "memory"
@@ -38,12 +38,12 @@
 
 
 class Weights(msgspec.Struct, frozen=True):
-    """What the operators' measures are worth, in one unit of cost.
+    """Weights of the operators' measures in the cost.
 
     Attributes:
-      ttft: for each second until the first token.
-      recompute: for each thousand prompt tokens recomputed.
-      link: for each gigabyte moved over a store link.
+      ttft: cost per second until the first token.
+      recompute: cost per thousand prompt tokens recomputed.
+      link: cost per gigabyte transferred over a store link.
     """
 
     ttft: float = 1.0
@@ -52,14 +52,14 @@
 
 
 class LinkView(msgspec.Struct):
-    """The believed state of the links to a store.
+    """The estimated state of the links to a store.
 
     Attributes:
-      memory_rate: bytes a second from memory.
-      disk_rate: bytes a second from disk.
-      memory_wait_s: queue before a new read from memory.
-      disk_wait_s: queue before a new read from disk.
-      token_bytes: cache bytes for each prompt token.
+      memory_rate: bytes per second from memory.
+      disk_rate: bytes per second from disk.
+      memory_wait_s: queueing time of a new read from memory.
+      disk_wait_s: queueing time of a new read from disk.
+      token_bytes: cache bytes per prompt token.
     """
 
     memory_rate: float
@@ -70,11 +70,12 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """What a placement needs to know of a request.
+    """The properties of a request that determine its placement.
 
     Attributes:
-      tokens: prompt length.
-      wait_s: how long the first word may still take.
+      root: the prompt's root id, which is its key on the ring.
+      tokens: prompt length in tokens.
+      wait_s: time left for the first token, in seconds.
       zone: the entry's zone.
       avoid: endpoints that already refused it.
     """
@@ -89,7 +90,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """The expected cost of one way to serve a job."""
+    """The expected cost of one option to serve a job."""
 
     endpoint: EndpointId
     source: Source
@@ -101,7 +102,7 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """The chosen way, and those it was compared with."""
+    """The chosen option, and those that it was compared with."""
 
     best: Cost
     compared: tuple[Cost, ...]
@@ -117,17 +118,19 @@
     weights: Weights,
     now: float,
 ) -> Cost:
-    """Returns the least cost of serving a job at an endpoint.
+    """Returns the minimum cost of serving a job at an endpoint.
 
     Importing p of the stored tokens takes p*bytes/rate and saves
-    p/prefill_rate, both linear in p, so the least cost is at one of the
-    ends: all that is stored, or nothing.
+    p/prefill_rate, both linear in p. So the minimum is at one of the
+    extremes: importing all stored tokens, or none.
     """
     queue_s = queue_seconds(view, job.priority, now)
-    ways = [_way(view, Source.RECOMPUTE, 0, 0.0, 0, queue_s, job, weights)]
+    options = [
+        _option(view, Source.RECOMPUTE, 0, 0.0, 0, queue_s, job, weights)
+    ]
     if cached:
-        ways.append(
-            _way(view, Source.ENGINE, cached, 0.0, 0, queue_s, job, weights)
+        options.append(
+            _option(view, Source.ENGINE, cached, 0.0, 0, queue_s, job, weights)
         )
     if stored and stored.tokens > cached:
         moved = (stored.tokens - cached) * link.token_bytes
@@ -137,8 +140,8 @@
         else:
             source = Source.DISK
             link_s = link.disk_wait_s + moved / link.disk_rate
-        ways.append(
-            _way(
+        options.append(
+            _option(
                 view,
                 source,
                 stored.tokens,
@@ -149,10 +152,10 @@
                 weights,
             )
         )
-    return min(ways, key=lambda way: way.cost)
+    return min(options, key=lambda option: option.cost)
 
 
-def _way(
+def _option(
     view: EndpointView,
     source: Source,
     held: int,
@@ -183,10 +186,10 @@
 ) -> Placement | Failure:
     """Chooses an endpoint for a job.
 
-    The prompt's first candidates on the ring are compared, and the endpoints
-    that were seen with it. While even the shortest queue among them is
-    longer than _SPILL_S, twice as many candidates are looked at, so that one
-    hot prompt cannot bury its endpoints.
+    The prompt's first candidates on the ring are compared with the endpoints
+    that are recorded as having it cached. While even the shortest queue among
+    them is longer than _SPILL_QUEUE_S, the number of candidates is doubled, so
+    that one hot prompt cannot overload its endpoints.
 
     Args:
       view_of: returns an endpoint's view, or None if it may not be used.
@@ -216,7 +219,7 @@
 
 
 def _all_busy(costs: dict[EndpointId, Cost]) -> bool:
-    return all(cost.queue_s > _SPILL_S for cost in costs.values())
+    return all(cost.queue_s > _SPILL_QUEUE_S for cost in costs.values())
 
 
 def _choose(
@@ -229,7 +232,7 @@
     if not costs:
         return failed(Code.NO_ENDPOINT, retry_after_s=1.0)
     order = {name: place for place, name in enumerate(names)}
-    penalty = _ORDER_PENALTY_S * weights.ttft
+    penalty = _RING_RANK_PENALTY_S * weights.ttft
 
     def key(cost: Cost) -> tuple[float, str]:
         position = order.get(cost.endpoint, len(order))
@@ -241,9 +244,9 @@
         late = soonest.ttft_s - job.wait_s
         return failed(
             Code.WAIT_EXCEEDED,
-            f"first word expected in {soonest.ttft_s:.1f} s,"
+            f"first token expected in {soonest.ttft_s:.1f} s,"
             f" {job.wait_s:.1f} s allowed",
-            retry_after_s=max(_RETRY_HINT_FLOOR_S, late),
+            retry_after_s=max(_MIN_RETRY_AFTER_S, late),
         )
     in_time = [cost for cost in compared if cost.ttft_s <= job.wait_s]
     spilled = count > _FIRST_CANDIDATES
--- a/magnolialug/policy/rank.py
+++ b/magnolialug/policy/rank.py
@@ -1,8 +1,8 @@
-"""In which order engines take requests."""
+"""Scheduling ranks of requests at engines."""
 
 __all__ = ["rank"]
 
-# Endpoints know ten ranks, 0 first.
+# Endpoints have ten ranks, 0 first.
 _LAST_RANK = 9
 _ROUTE_RANKS = 3
 
@@ -10,12 +10,13 @@
 def rank(team: int | None, route: int) -> int:
     """Returns the rank of a request, 0 first.
 
-    A team's priority goes before the route's; among requests of teams with
-    equal priority the route's decides, so that a short check does not queue
-    behind its own team's long drafts.
+    The team's priority takes precedence over the route's. Among requests of
+    teams with equal priority the route's priority decides, so that a short
+    check does not queue behind its own team's long drafts.
 
     Args:
       team: the team's priority, None if it has none.
+      route: the route's priority.
     """
     first = route if team is None else team
     second = min(route, _ROUTE_RANKS - 1)
--- a/magnolialug/policy/registrations.py
+++ b/magnolialug/policy/registrations.py
@@ -1,4 +1,4 @@
-"""Which entries share the work, from registrations that may lapse."""
+"""Entries that share the work, from registrations that may expire."""
 
 from collections.abc import Mapping
 from typing import Generic, TypeVar
@@ -7,23 +7,24 @@
 
 __all__ = ["Registrations"]
 
-# An entry whose registration lapsed in an outage is registered again within
-# about two seconds of the service's return, if it lives. Until then it keeps
-# its place on the ring of owners.
-_RETURN_S = 2.0
-# An entry that the service turns away serves on after its registration has
-# lapsed. It is counted for this much longer: shares that are too small for a
-# while cost little, shares that add up to more than the whole do harm.
-_COUNTED_S = 30.0
+# If an entry's registration expired in an outage and the entry is alive, it is
+# registered again within about 2 s of the service's return. For that time it
+# keeps its place on the ring of owners.
+_REREGISTRATION_S = 2.0
+# An entry that the service refuses continues to serve after its registration
+# has expired. It is counted for this much longer: shares that are too small for
+# a while cost little, but shares that add up to more than the whole limit do
+# harm.
+_SHARE_GRACE_S = 30.0
 
 Row = TypeVar("Row")
 
 
 class _Missing(msgspec.Struct, Generic[Row]):
-    """A registration that is gone.
+    """A registration that has disappeared.
 
     Attributes:
-      since: when it was missed first, in seconds.
+      since: time when it was first missing, in seconds.
     """
 
     row: Row
@@ -31,12 +32,12 @@
 
 
 class Registrations(Generic[Row]):
-    """Keeps the registered entries, and for a while those that are missing.
+    """Tracks the registered entries, and for a grace period the missing ones.
 
-    A registration goes missing when its entry leaves or dies, but also when
-    the service was away, or out of that entry's reach, for longer than a lease
-    lasts. Entries that divide a bound by the number of others would exceed it
-    together while they do not count one that serves on.
+    A registration disappears when its entry leaves or dies, but also when the
+    service was unavailable, or unreachable for that entry, for longer than a
+    lease lasts. Entries divide limits by the number of entries. Together they
+    would exceed a limit if they did not count one that continues to serve.
     """
 
     def __init__(self):
@@ -44,55 +45,55 @@
         self._missing: dict[str, _Missing[Row]] = {}
 
     def next_change_at(self, now: float) -> float:
-        """Returns when missing entries next count for less, in seconds."""
+        """Returns when the next grace period of a missing entry ends."""
         ends = (
             missing.since + for_s
             for missing in self._missing.values()
-            for for_s in (_RETURN_S, _COUNTED_S)
+            for for_s in (_REREGISTRATION_S, _SHARE_GRACE_S)
         )
         return min((end for end in ends if end > now), default=float("inf"))
 
     @property
     def missing(self) -> list[str]:
-        """The keys of registrations that are gone and not yet forgotten."""
+        """The keys of missing registrations that have not been dropped yet."""
         return sorted(self._missing)
 
     def put(self, key: str, row: Row) -> None:
-        """Takes a registration.
+        """Adds or replaces a registration.
 
-        A machine has one key, so what it ran before is over.
+        Each machine has one key, so this replaces the machine's previous entry.
         """
         self._rows[key] = row
         self._missing.pop(key, None)
 
     def remove(self, key: str, now: float) -> None:
-        """Learns that a registration is gone."""
+        """Records that a registration has disappeared."""
         row = self._rows.pop(key, None)
         if row is not None:
             self._missing[key] = _Missing(row, now)
 
     def replace(self, rows: Mapping[str, Row], now: float) -> None:
-        """Takes all registrations as they are now."""
+        """Replaces all registrations by the current ones."""
         for key in set(self._rows) - set(rows):
             self.remove(key, now)
         for key, row in rows.items():
             self.put(key, row)
 
     def expire(self, now: float) -> None:
-        """Forgets what has been missing for long."""
+        """Drops registrations that are missing beyond the grace period."""
         self._missing = {
             key: missing
             for key, missing in self._missing.items()
-            if now < missing.since + _COUNTED_S
+            if now < missing.since + _SHARE_GRACE_S
         }
 
     def members(self, now: float) -> dict[str, Row]:
-        """Returns the entries that own tasks, by their keys."""
-        return {**self._missing_for(_RETURN_S, now), **self._rows}
+        """Returns the entries that may be owners, by their keys."""
+        return {**self._missing_for(_REREGISTRATION_S, now), **self._rows}
 
     def sharing(self, now: float) -> dict[str, Row]:
-        """Returns the entries that shares are divided by, by their keys."""
-        return {**self._missing_for(_COUNTED_S, now), **self._rows}
+        """Returns the entries that limits are divided among, by their keys."""
+        return {**self._missing_for(_SHARE_GRACE_S, now), **self._rows}
 
     def _missing_for(self, seconds: float, now: float) -> dict[str, Row]:
         return {
--- a/magnolialug/policy/retry.py
+++ b/magnolialug/policy/retry.py
@@ -1,4 +1,4 @@
-"""When a request may be tried again, and how soon."""
+"""Retry rules: retry budget, backoff, and when a retry is allowed."""
 
 import enum
 from random import Random
@@ -13,11 +13,11 @@
 class Ending(enum.Enum):
     """How an attempt ended for the entry that sent it.
 
-    UNSENT: the endpoint saw nothing of it.
-    NOT_RUN: the endpoint says that it did not run it and never will.
-    LOST: it may have run; its answer did not come.
-    FAILED: it ran, and the endpoint says that it failed.
-    CUT: the caller has part of an answer that no other run can continue.
+    UNSENT: the endpoint received nothing of it.
+    NOT_RUN: the endpoint reports that it did not run it and never will.
+    LOST: it may have run; its response was lost.
+    FAILED: it ran, and the endpoint reports that it failed.
+    CUT: the caller has part of a response that no other run can continue.
     """
 
     UNSENT = "unsent"
@@ -28,16 +28,16 @@
 
 
 class Budget:
-    """Retries a process may make: a share of a service's first attempts.
+    """Retry budget of a process: a share of each service's first attempts.
 
-    Without it an outage multiplies the load by the number of tries, and the
-    endpoints that return are buried at once; one would notice goodput that
-    stays low after the fault has ended. In any span of time the retries for
-    a service stay under `limit` plus `ratio` for each of its requests.
+    Without it, an outage multiplies the load by the number of attempts, and
+    endpoints that return are overloaded at once; goodput then stays low after
+    the fault has ended. In any period, the retries for a service stay below
+    `limit` plus `ratio` times its requests.
 
     Attributes:
       ratio: retries earned by each first attempt.
-      limit: most retries that may be saved up for one service.
+      limit: maximum retries that can accumulate for one service.
     """
 
     def __init__(self, ratio: float = 0.2, limit: float = 10.0):
@@ -50,12 +50,12 @@
         return min(self.limit, self._left.get(service, self.limit))
 
     def deposit(self, service: str) -> None:
-        """Counts a first attempt."""
+        """Adds the retries that a first attempt earns."""
         saved = self.left(service) + self.ratio
         self._left[service] = min(self.limit, saved)
 
     def withdraw(self, service: str) -> bool:
-        """Takes one retry if there is one left."""
+        """Takes one retry from the budget; false if none is left."""
         left = self.left(service)
         if left < 1.0:
             return False
@@ -86,17 +86,17 @@
     service: str = "",
     attempts_left: int = 1,
 ) -> Failure | None:
-    """Returns None if a request may go to another endpoint.
+    """Returns None if a request may be retried, or the reason why not.
 
     Args:
       ending: how the last attempt ended.
       idempotent: whether the request may run more than once.
-      wait_left_s: time left until the first word must have come.
-      started: whether the first word has already come.
-      budget: the process's retries; one is taken when the answer is None,
-        unless the endpoint saw nothing of the last attempt.
-      service: whose retries are counted together.
-      attempts_left: endpoints that it may still be sent to.
+      wait_left_s: time left for the first token, in seconds.
+      started: whether the first token has already arrived.
+      budget: the process's retry budget; one retry is taken if the result is
+        None, unless the endpoint received nothing of the last attempt.
+      service: the service whose budget is used.
+      attempts_left: number of endpoints that it may still be sent to.
     """
     unrun = ending in (Ending.UNSENT, Ending.NOT_RUN)
     if ending is Ending.CUT or (not unrun and not idempotent):
--- a/magnolialug/policy/ring.py
+++ b/magnolialug/policy/ring.py
@@ -1,4 +1,4 @@
-"""Candidates for a prompt, agreed by all entries without talking."""
+"""Consistent-hash ring, the same in all entries without coordination."""
 
 import bisect
 from array import array
@@ -7,18 +7,19 @@
 
 __all__ = ["Ring"]
 
-# Of a member with weight 1; a member's share of what is drawn follows its
-# points, and ten of each digest keep unequal draws within a fifth.
-_DIGESTS = 5
-_MOST_DIGESTS = 20
+# Digests of a member with weight 1. A member's share of the keys is in
+# proportion to its points; ten points from each digest keep the imbalance
+# within a fifth.
+_DIGESTS_PER_MEMBER = 5
+_MAX_DIGESTS = 20
 _POINT_BYTES = 6
 _DIGEST_BYTES = 60
 _INDEX_BITS = 16
 
 
 def _points(member: str, weight: float) -> list[int]:
-    """Returns a member's points; ten from each of a few digests."""
-    digests = min(_MOST_DIGESTS, max(1, round(_DIGESTS * weight)))
+    """Returns a member's points on the ring, ten from each digest."""
+    digests = min(_MAX_DIGESTS, max(1, round(_DIGESTS_PER_MEMBER * weight)))
     points = []
     for number in range(digests):
         data = f"{member}#{number}".encode()
@@ -38,14 +39,13 @@
 class Ring:
     """A consistent-hash ring over at most 65,536 endpoints.
 
-    Every entry that knows the same members computes the same candidates. A
-    member that joins or leaves moves only the prompts next to its points.
-    A point and its member's index share one machine word, so that a ring of
-    thousands of endpoints is small and is rebuilt without a stall.
+    Every entry with the same members computes the same candidates. A member
+    that joins or leaves moves only the prompts next to its points. A point and
+    its member's index share one machine word, so that a ring of thousands of
+    endpoints is small and is rebuilt without a noticeable pause.
 
     Args:
-      weights: how much more than others a member is to be drawn; 1 for those
-        that are not named.
+      weights: relative weights of members; 1 for those that are not given.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         )
 
     def candidates(self, root: str, count: int) -> list[str]:
-        """Returns up to count distinct members, the preferred one first."""
+        """Returns up to `count` distinct members, the preferred one first."""
         count = min(count, len(self._members))
         if not count:
             return []
--- a/magnolialug/policy/rollout.py
+++ b/magnolialug/policy/rollout.py
@@ -1,4 +1,4 @@
-"""Which engines take new weights next."""
+"""Rollout plan: which engines load new weights next."""
 
 from collections.abc import Sequence
 
@@ -6,25 +6,25 @@
 
 from magnolialug.ids import EndpointId
 
-__all__ = ["Engine", "Rollout", "after", "at_once", "plan"]
+__all__ = ["Engine", "Rollout", "next_numbered", "max_concurrent_loads", "plan"]
 
-# Loading slows down when more than about three eighths of a service's engines
-# load at the same time.
-_AT_ONCE_SHARE = 0.375
-_AT_ONCE_LEAST = 2
+# Loading slows down when more than about 3/8 of a service's engines load at the
+# same time.
+_MAX_LOADING_SHARE = 0.375
+_MIN_LOADING_LIMIT = 2
 
 
 class Engine(msgspec.Struct, frozen=True):
     """An engine of the service that is to take a version.
 
     Attributes:
-      running: attempts under way there, as far as this process knows.
+      running: attempts in progress there, as far as this process knows.
       current: whether it has the version.
-      closed: whether it gets no new work, since it loads or soon will.
+      closed: whether it gets no new work, because it loads or soon will.
       failing: whether it does not answer.
-      version: that it has, as far as is known.
-      barred: whether it may not be ordered yet.
-      loading: whether it loads another version just now.
+      version: the version that it has, as far as is known.
+      barred: whether it must not receive a rollout command yet.
+      loading: whether it is loading another version at the moment.
     """
 
     endpoint: EndpointId
@@ -38,12 +38,12 @@
 
 
 class Rollout(msgspec.Struct, frozen=True):
-    """What is about to be ordered, told to all entries beforehand.
+    """State of a rollout, announced to all entries before commands are sent.
 
     Attributes:
-      closed: engines that get no new work, since they load or soon will.
+      closed: engines that get no new work, because they load or soon will.
       taken: engines that have the version.
-      number: counts what was told, over all holders.
+      number: sequence number of the announcement, over all leaders.
     """
 
     model: str
@@ -53,26 +53,30 @@
     number: int = 0
 
 
-def at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """Returns how many engines of a service may load at the same time."""
-    return max(_AT_ONCE_LEAST, int(engines * _AT_ONCE_SHARE))
+    return max(_MIN_LOADING_LIMIT, int(engines * _MAX_LOADING_SHARE))
 
 
 def plan(
-    model: str, version: int, engines: Sequence[Engine], told: Rollout | None
+    model: str,
+    version: int,
+    engines: Sequence[Engine],
+    previous: Rollout | None,
 ) -> Rollout:
-    """Returns the engines to be closed now, the oldest weights first.
+    """Returns the rollout with the engines to be closed now.
 
-    Answers made on weights that were replaced long ago are worth the least,
-    so when a second version is named in the middle of a rollout the engines
-    that the first one has not reached go first. An engine that may not be
-    ordered yet stays open. A closed one stays closed until it has the
-    version; if it does not answer it keeps its place only while no other
-    waits for it, so that a dead engine does not hold up the rest. One that
-    loads another version stays closed until it has that, and waits again.
+    Engines with the oldest weights go first, because responses from weights
+    that were replaced long ago are worth the least. So if a second version is
+    named in the middle of a rollout, the engines that the first one has not
+    reached go first. An engine that must not receive a command yet stays open.
+    A closed engine stays closed until it has the version. If it does not
+    answer, it keeps its place only while no other engine waits for it, so that
+    a dead engine does not block the rest. An engine that loads another version
+    stays closed until it has that version, and then waits again.
 
     Args:
-      told: what was told last; it is returned when nothing changes.
+      previous: the last announced rollout; returned if nothing changes.
     """
     outdated = [engine for engine in engines if not engine.current]
     loading = [e for e in outdated if e.loading]
@@ -81,19 +85,19 @@
     ]
     waiting = [e for e in outdated if not (e.closed or e.barred or e.loading)]
     waiting.sort(key=lambda e: (e.failing, e.version, e.running, e.endpoint))
-    free = at_once(len(engines)) - len(loading)
+    free = max_concurrent_loads(len(engines)) - len(loading)
     closed = loading + waiting[: max(0, free)]
     rollout = Rollout(
         model=model,
         version=version,
         closed=tuple(sorted(e.endpoint for e in closed)),
         taken=tuple(sorted(e.endpoint for e in engines if e.current)),
-        number=told.number if told else 0,
+        number=previous.number if previous else 0,
     )
-    return rollout if rollout == told else after(rollout, told)
+    return rollout if rollout == previous else next_numbered(rollout, previous)
 
 
-def after(rollout: Rollout, told: Rollout | None) -> Rollout:
-    """Returns a rollout numbered as the one that follows another."""
-    number = told.number + 1 if told else 1
+def next_numbered(rollout: Rollout, previous: Rollout | None) -> Rollout:
+    """Returns a rollout with the number that follows the previous one."""
+    number = previous.number + 1 if previous else 1
     return msgspec.structs.replace(rollout, number=number)
--- a/magnolialug/policy/routes.py
+++ b/magnolialug/policy/routes.py
@@ -1,20 +1,20 @@
-"""Which route a request takes, and which of its services."""
+"""Route lookup, and the choice among the services of a route."""
 
 from hashlib import blake2b
 
 from magnolialug.config.routing import Route, RouteTeam, Routing
 from magnolialug.ids import ServiceName
 
-__all__ = ["RouteTable", "share_of"]
+__all__ = ["RouteTable", "service_for"]
 
 _DRAW_BYTES = 6
 
 
 class RouteTable:
-    """The routes of one configuration, ready to be looked up.
+    """Lookup table of the routes of one configuration.
 
-    A lookup costs one dictionary probe for each slash of the path, whatever
-    the number of routes: a few microseconds with thousands of them.
+    A lookup costs one dictionary access for each slash in the path, whatever
+    the number of routes: a few microseconds with thousands of routes.
     """
 
     def __init__(self, routing: Routing):
@@ -26,12 +26,12 @@
         self.by_name = {route.name: route for route in routing.routes}
 
     @property
-    def asks_for_keys(self) -> bool:
-        """Whether any team is configured."""
+    def requires_key(self) -> bool:
+        """Whether requests need a key: true if any team is configured."""
         return bool(self.routing.teams)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path."""
+        """Returns the route with the longest matching prefix of the path."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
@@ -44,15 +44,15 @@
         return None
 
     def team(self, key: str) -> RouteTeam | None:
-        """Returns the team that holds a key."""
+        """Returns the team that a key belongs to."""
         return self._teams.get(key)
 
 
-def share_of(route: Route, request_id: str) -> ServiceName:
-    """Returns the service of a split route that a request goes to.
+def service_for(route: Route, request_id: str) -> ServiceName:
+    """Returns the service that a request on a split route goes to.
 
-    The draw depends on the request alone, so that every process and every
-    try of the request chooses the same service.
+    The choice depends on the request id only, so that every process and every
+    attempt of the request chooses the same service.
     """
     shares = route.shares
     if len(shares) == 1:
--- a/magnolialug/policy/sharedload.py
+++ b/magnolialug/policy/sharedload.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of their work at the endpoints."""
+"""Messages in which entries report their work at the endpoints."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,36 +7,37 @@
 from magnolialug.ids import EndpointId
 from magnolialug.policy.prompt import Part
 
-__all__ = ["EndpointState", "Placement", "WorkShare", "summed"]
+__all__ = ["EndpointState", "Placement", "WorkShare", "sum_by_priority"]
 
 
 class WorkShare(msgspec.Struct, frozen=True, array_like=True):
     """One entry's work at one endpoint.
 
     Attributes:
-      reading: prompt tokens sent that have brought no first event yet, by
-        priority, 0 first.
+      pending_prefill: prompt tokens of requests without a first event yet,
+        by priority, 0 first.
       held: tokens of memory that its running requests take.
-      running: how many those are.
-      heard_ms: time since this entry had the endpoint's last byte.
+      running: number of its running requests.
+      last_contact_ms: time since the endpoint's last byte reached this entry.
       oldest_ms: time since the oldest of these requests was sent.
-      born_ms: the start of the endpoint that it is at, 0 if not known.
+      born_ms: the start of the endpoint that the work is at, 0 if not known.
       weights: the newest version that it is known to have, by model.
-      least: the oldest version that it can have, where that is not known.
-      cold_ms: for how much longer this entry knows it to be cold, from what the
-        key-value service tells and not from what others tell: told in a
-        circle, the time would never end.
+      min_weights: the oldest version that it can have, by model, where the
+        version is not known.
+      cold_ms: remaining time for which this entry knows it to be cold, from
+        the key-value service only. If reports of other entries counted too,
+        entries would extend the time for each other without end.
     """
 
     endpoint: EndpointId
-    reading: tuple[int, ...]
+    pending_prefill: tuple[int, ...]
     held: int
     running: int
-    heard_ms: int = 0
+    last_contact_ms: int = 0
     oldest_ms: int = 0
     born_ms: int = 0
     weights: dict[str, int] = {}
-    least: dict[str, int] = {}
+    min_weights: dict[str, int] = {}
     cold_ms: int = 0
 
 
@@ -44,7 +45,7 @@
     """The shared parts of one prompt that was sent to an engine.
 
     Attributes:
-      parts: in the prompt's order.
+      parts: the parts in the prompt's order.
       born_ms: the start of the engine that it was sent to, 0 if not known.
     """
 
@@ -55,36 +56,39 @@
 
 
 class EndpointState(msgspec.Struct, frozen=True, array_like=True):
-    """What an endpoint has to do for all entries but the one that asks.
+    """Load of an endpoint from all entries but the one that asks.
 
     Attributes:
-      reading: as in a WorkShare, summed.
-      held: tokens of memory taken or promised.
-      running: requests under way.
-      found: how many of the asked prompt's first parts the engine holds.
-      silent: whether nobody who has work there has heard of it for too long.
+      pending_prefill: as in a WorkShare, summed over entries.
+      held: tokens of memory in use or reserved.
+      running: requests in progress.
+      cached_parts: how many leading parts of the queried prompt the engine
+        has cached.
+      silent: whether no entry with work there has received data from it for
+        too long.
       waiting: prompts that wait for its memory.
-      born_ms: the start that this is known of, 0 if not known.
-      weights: the newest version that anybody knows it to have, by model.
-      least: the oldest version that it can have, where that is not known.
-      cold_ms: for how much longer anybody knows it to be cold.
+      born_ms: the start that the state is about, 0 if not known.
+      weights: the newest version that any entry knows it to have, by model.
+      min_weights: the oldest version that it can have, by model, where the
+        version is not known.
+      cold_ms: remaining time for which any entry knows it to be cold.
     """
 
     endpoint: EndpointId
-    reading: tuple[int, ...]
+    pending_prefill: tuple[int, ...]
     held: int
     running: int
-    found: int = 0
+    cached_parts: int = 0
     silent: bool = False
     waiting: int = 0
     born_ms: int = 0
     weights: dict[str, int] = {}
-    least: dict[str, int] = {}
+    min_weights: dict[str, int] = {}
     cold_ms: int = 0
 
 
-def summed(rows: Iterable[Sequence[int]]) -> tuple[int, ...]:
-    """Returns the sums by place of rows of unequal length."""
+def sum_by_priority(rows: Iterable[Sequence[int]]) -> tuple[int, ...]:
+    """Returns the sums by priority of rows of different lengths."""
     total: list[int] = []
     for row in rows:
         total += [0] * (len(row) - len(total))
--- a/magnolialug/policy/slots.py
+++ b/magnolialug/policy/slots.py
@@ -1,61 +1,63 @@
-"""How many of an endpoint's slots a kind of request may take."""
+"""Slot limits of an endpoint by the priority of a request."""
 
 __all__ = ["fetch_ahead", "in_time", "slot_free", "usable_slots"]
 
-_RESERVED_SHARE = 8
-_FETCH_SHARE = 2
+_RESERVED_DIVISOR = 8
+_FETCH_AHEAD_DIVISOR = 2
 
 
 def slot_free(running: int, slots: int, priority: int) -> bool:
-    """Tells whether a request may start.
+    """Whether a request may start.
 
-    Long drafts would otherwise hold every slot for their whole answers, and
-    a short check would wait for one of them to end; so a share of the slots
-    is kept for the most urgent kinds.
+    Long drafts would otherwise occupy every slot for their whole response, and
+    a short check would wait for one of them to end. So a share of the slots is
+    reserved for the most urgent kinds.
 
     Args:
-      running: slots taken.
-      slots: slots in all.
+      running: number of slots in use.
+      slots: total number of slots.
       priority: 0 for the most urgent kinds.
     """
     return running < usable_slots(slots, priority)
 
 
 def fetch_ahead(running: int, fetching: int, slots: int, priority: int) -> bool:
-    """Tells whether another request's cache may be fetched.
+    """Whether another request's cache may be fetched.
 
-    A slot is room in the endpoint's batch. A request that held one while its
-    cache came over a slow link kept the endpoint idle, and under overload
-    the fleet's capacity went into waiting. So cache is fetched before a slot
-    is taken, for a few requests more than there are slots free.
+    A slot is a place in the endpoint's batch. Requests that occupied a slot
+    while their cache came over a slow link kept the endpoint idle, and under
+    overload the fleet's capacity was lost to waiting. So the cache is fetched
+    before a slot is taken, for a few requests more than there are free slots.
 
     Args:
-      running: slots taken.
-      fetching: requests whose cache is coming, or has come.
-      slots: slots in all.
+      running: number of slots in use.
+      fetching: requests whose cache is being fetched or has been fetched.
+      slots: total number of slots.
       priority: 0 for the most urgent kinds.
     """
-    ahead = max(1, slots // _FETCH_SHARE)
+    ahead = max(1, slots // _FETCH_AHEAD_DIVISOR)
     return running + fetching < usable_slots(slots, priority) + ahead
 
 
 def in_time(
     now: float, deadline: float, tokens_before: int, rate: float
 ) -> bool:
-    """Tells whether a first word can still come by its deadline.
+    """Whether a first token can still arrive by its deadline.
 
-    Under overload a request that starts just before its deadline has its
-    first word after it: the work is lost, and the next one is later still.
+    Under overload, a request that starts just before its deadline gets its
+    first token after it: the work is wasted, and the next request is delayed
+    even more.
 
     Args:
       now: seconds on the clock of the deadline.
-      deadline: when the first word must have come.
-      tokens_before: prompt tokens to compute until then, its own included.
-      rate: prompt tokens a second.
+      deadline: latest time of the first token.
+      tokens_before: prompt tokens to prefill before the first token, the
+        request's own included.
+      rate: prompt tokens per second.
     """
     return now + tokens_before / rate <= deadline
 
 
 def usable_slots(slots: int, priority: int) -> int:
-    """Returns how many slots a kind may take at most."""
-    return slots - (slots // _RESERVED_SHARE if priority > 0 else 0)
+    """Returns the number of slots that requests of a priority may use."""
+    return slots - (slots // _RESERVED_DIVISOR if priority > 0 else 0)
--- a/magnolialug/policy/weightbounds.py
+++ b/magnolialug/policy/weightbounds.py
@@ -1,50 +1,49 @@
-"""Until when prompts may begin on weights that have been replaced."""
+"""Time limits for starting prompts on replaced weight versions."""
 
 __all__ = ["WeightBounds"]
 
-# Versions remembered for each model. One is named every few seconds at most.
-_KEPT = 8
+# Versions remembered per model. At most one is named every few seconds.
+_MAX_VERSIONS = 8
 
 
 class WeightBounds:
-    """When each version of a model was first heard of.
+    """Tracks when each version of a model was first named.
 
-    An answer on older weights is worth nothing to its caller once a newer
-    version was named a bound ago. Without this a gateway goes on sending
-    prompts to an engine that leaves all orders unanswered, and one would
-    notice answers on weights of which the operator has long said that they
-    are not to be used.
+    A response from older weights is worthless to its caller once a newer
+    version was named `bound_s` ago. Without this limit, a gateway continues to
+    send prompts to an engine that answers no rollout command, and callers get
+    responses from weights that the operator has long declared out of use.
 
     Args:
-      bound_s: from the naming of a version until older ones are barred.
+      bound_s: time from the naming of a version until older ones are refused.
     """
 
     def __init__(self, bound_s: float):
         self.bound_s = bound_s
-        self._heard: dict[str, dict[int, float]] = {}
+        self._named_at: dict[str, dict[int, float]] = {}
 
-    def heard(self, model: str, version: int, now: float) -> None:
-        """Learns that a version has been named."""
-        heard = self._heard.setdefault(model, {})
-        heard.setdefault(version, now)
-        while len(heard) > _KEPT:
-            oldest = heard.pop(min(heard))
-            following = min(heard)
-            heard[following] = min(oldest, heard[following])
+    def record_version(self, model: str, version: int, now: float) -> None:
+        """Records that a version has been named."""
+        named_at = self._named_at.setdefault(model, {})
+        named_at.setdefault(version, now)
+        while len(named_at) > _MAX_VERSIONS:
+            oldest = named_at.pop(min(named_at))
+            following = min(named_at)
+            named_at[following] = min(oldest, named_at[following])
 
     def only_newer(self, model: str, version: int) -> int:
-        """Returns the only version named after another, 0 if not only one.
+        """Returns the only version named after `version`, 0 if not exactly one.
 
-        An engine that says it has not the one has the other.
+        An engine that reports not to have `version` then has that one.
         """
-        newer = [v for v in self._heard.get(model, {}) if v > version]
+        newer = [v for v in self._named_at.get(model, {}) if v > version]
         return newer[0] if len(newer) == 1 else 0
 
     def usable_until(self, model: str, version: int) -> float:
-        """Returns when prompts may no longer begin on a version."""
+        """Returns the time from which no prompt may start on a version."""
         newer = (
             at
-            for named, at in self._heard.get(model, {}).items()
+            for named, at in self._named_at.get(model, {}).items()
             if named > version
         )
         return min(newer, default=float("inf")) + self.bound_s
--- a/magnolialug/prefixcache/garbagecollector.py
+++ b/magnolialug/prefixcache/garbagecollector.py
@@ -58,7 +58,7 @@
         if now < self._look_at:
             return
         self._look_at = now + _LOOK_S
-        self._old.seen(self._engines(), now)
+        self._old.update(self._engines(), now)
         for name, poll in self._stores.kept():
             if not poll.index.trusted(now) or now < self._ask_at.get(name, 0.0):
                 continue
--- a/magnolialug/quarantine/wiring.py
+++ b/magnolialug/quarantine/wiring.py
@@ -10,8 +10,8 @@
 from magnolialug.owners.ownerring import OwnerRing
 from magnolialug.owners.wiring import Talk
 from magnolialug.platform.kv import Kv
-from magnolialug.policy.answered import Answered
 from magnolialug.policy.crashcounter import CrashCounter, Term
+from magnolialug.policy.recentanswers import RecentAnswers
 from magnolialug.quarantine.crashdetector import CrashDetector
 from magnolialug.quarantine.messages import (
     CrashReport,
@@ -60,7 +60,7 @@
         self._owners = owners
         self._talk = talk
         self._clock = clock
-        self._answered = Answered()
+        self._answered = RecentAnswers()
         self._counter = CrashCounter()
         self._crashes = CrashDetector(self._crashed)
         self._reported: dict[RequestDigest, None] = {}
@@ -107,7 +107,7 @@
         now = self._clock.seconds()
         by_owner: dict[Address, list[Loss]] = {}
         for loss in set(losses):
-            if self._answered.clears(loss.digest, now):
+            if self._answered.rules_out(loss.digest, now):
                 continue
             self._reported[loss.digest] = None
             # Its own too: an entry that is cut off still counts.
--- a/magnolialug/requestlog.py
+++ b/magnolialug/requestlog.py
@@ -3,7 +3,7 @@
 import time
 
 from magnolialug.events import Event, grade_of, take_line, write_line
-from magnolialug.policy.logbounds import Grade
+from magnolialug.policy.loglimiter import Grade
 
 __all__ = ["RequestLog"]
 
--- a/magnolialug/sidecar/app.py
+++ b/magnolialug/sidecar/app.py
@@ -11,9 +11,9 @@
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import EndpointId, StoreId, new_incarnation
 from magnolialug.metrics import Metrics
+from magnolialug.policy.attemptqueue import AttemptQueue, AttemptTraits
 from magnolialug.policy.blocks import token_count
 from magnolialug.policy.gate import Gate, Term
-from magnolialug.policy.lineup import Claimant, Lineup
 from magnolialug.policy.load import merge_tokens
 from magnolialug.policy.stored import Tier
 from magnolialug.result import Code, Failure, failed
@@ -69,7 +69,7 @@
         self._timer = None
         self._removed = False
         self._spec = spec = self._deployment.endpoints[endpoint_id]
-        self.lineup: Lineup[Item] = Lineup(
+        self.lineup: AttemptQueue[Item] = AttemptQueue(
             self._deployment.limits.queue_items, spec.slots
         )
         self.speed = Speed(spec.prefill_rate)
@@ -271,7 +271,7 @@
         self.answers.add(answer)
         answer.attach(link, dispatch.resume_after)
         share = self._deployment.teams[attempt.team].share
-        claimant = Claimant(attempt.team, tokens, kind.priority, share)
+        claimant = AttemptTraits(attempt.team, tokens, kind.priority, share)
         self.lineup.push(item, claimant)
         self.metrics.queued.add(1)
         self.clock.callLater(dispatch.wait_s, self._overdue, item)
--- a/tests/ctl/test_explain.py
+++ b/tests/ctl/test_explain.py
@@ -8,7 +8,7 @@
 from magnolialug import events
 from magnolialug.ctl.explain import explain_request
 from magnolialug.events import Event, name_process
-from magnolialug.policy.logbounds import LogBounds
+from magnolialug.policy.loglimiter import LogLimiter
 from magnolialug.standin.endpoint import Fault
 from tests.gatewaycluster import GatewayCluster
 
@@ -28,7 +28,7 @@
         self.lines = []
         sink = logger.add(self.lines.append, format="{message}")
         self.addCleanup(logger.remove, sink)
-        self.patch(events, "_bounds", LogBounds(1e6, 1e6))
+        self.patch(events, "_bounds", LogLimiter(1e6, 1e6))
         name_process("front-1")
         self.addCleanup(name_process, "")
 
--- a/tests/entry/test_candidate_prober.py
+++ b/tests/entry/test_candidate_prober.py
@@ -4,7 +4,7 @@
 from testtools import TestCase
 
 from magnolialug import events
-from magnolialug.policy.logbounds import LogBounds
+from magnolialug.policy.loglimiter import LogLimiter
 from tests.gatewaycluster import GatewayCluster
 
 
@@ -20,7 +20,7 @@
         for both wraps the cancellation in an error of its own.
         """
         lines = []
-        events._bounds = LogBounds()
+        events._bounds = LogLimiter()
         sink = logger.add(lines.append, format="{message}")
         self.addCleanup(logger.remove, sink)
         cluster = GatewayCluster(engines=4, vms=("front-1", "front-2"))
--- a/tests/entry/test_failure_lines.py
+++ b/tests/entry/test_failure_lines.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from magnolialug import events
-from magnolialug.policy.logbounds import LogBounds
+from magnolialug.policy.loglimiter import LogLimiter
 from magnolialug.standin.endpoint import Fault
 from tests.gatewaycluster import GatewayCluster
 
@@ -21,7 +21,7 @@
         which is new each time.
         """
         lines = []
-        events._bounds = LogBounds()
+        events._bounds = LogLimiter()
         sink = logger.add(lines.append, format="{message}")
         self.addCleanup(logger.remove, sink)
         cluster = GatewayCluster(desks=1, engines=0)
--- a/tests/entry/test_same_id.py
+++ b/tests/entry/test_same_id.py
@@ -5,7 +5,7 @@
 
 from magnolialug import events
 from magnolialug.owners.messages import LoadQuery, LoadReport, QueriedEndpoint
-from magnolialug.policy.logbounds import LogBounds
+from magnolialug.policy.loglimiter import LogLimiter
 from magnolialug.policy.prompt import Part, Prompt
 from magnolialug.policy.sharedload import Placement, WorkShare
 from magnolialug.standin.endpoint import EndpointStandin
@@ -19,7 +19,7 @@
 def lines_of(case):
     """Returns a list that grows by the log lines of a test."""
     lines = []
-    events._bounds = LogBounds()
+    events._bounds = LogLimiter()
     sink = logger.add(lines.append, format="{message}")
     case.addCleanup(logger.remove, sink)
     return lines
@@ -68,13 +68,13 @@
         prompt = Prompt("m", (part, Part("o", 2000)), 11_000, 10)
         peer = self.peer(cluster, engine)
         self.assertEqual(1, peer.load.leading("/m/1", prompt))
-        self.assertEqual(1, self.state(cluster, engine, part).found)
-        peer.health.broke(cluster.net.seconds())
+        self.assertEqual(1, self.state(cluster, engine, part).cached_parts)
+        peer.health.record_failure(cluster.net.seconds())
         cluster.start_again(engine, SECOND)
         cluster.pass_time(0.3)
         peer = self.peer(cluster, engine)
         self.assertEqual(0, peer.load.leading("/m/1", prompt))
-        self.assertEqual(0, self.state(cluster, engine, part).found)
+        self.assertEqual(0, self.state(cluster, engine, part).cached_parts)
         self.assertEqual(0, peer.running)
         self.assertTrue(peer.sound(cluster.net.seconds()))
         self.assertEqual(200, cluster.ask("/draft/x").last.status)
@@ -119,7 +119,7 @@
         self.assertEqual(before, self.state(cluster, engine, part))
         self.tell(cluster, engine, part, SECOND, 2)
         after = self.state(cluster, engine, part)
-        self.assertEqual((1, 50_000), (after.found, after.held))
+        self.assertEqual((1, 50_000), (after.cached_parts, after.held))
 
     def tell(self, cluster, engine, part, born_ms, number):
         """Tells the engine's owner of another entry's work at a start of it."""
--- a/tests/owners/test_admission_client.py
+++ b/tests/owners/test_admission_client.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 
 from magnolialug.owners.admissionclient import AdmissionRequest
-from magnolialug.policy.admissionorder import Waiting
+from magnolialug.policy.admissionorder import WaitingPrompt
 from magnolialug.result import Code, Failure
 from tests.owners.fleet import MEMORY, Fleet
 
@@ -27,7 +27,7 @@
     def wait(self, entry=None, engines=("i-0", "i-1"), tokens=12_000, **times):
         """Puts a prompt on some lists; its turn goes to `turns`."""
         now = self.fleet.clock.seconds()
-        waiting = Waiting(
+        waiting = WaitingPrompt(
             number=0,
             priority=1,
             target_at=now + times.get("target_s", 0.6),
--- a/tests/owners/test_owners.py
+++ b/tests/owners/test_owners.py
@@ -126,9 +126,9 @@
         one.sends("i-0", placement=Placement("i-0", "s", parts))
         fleet.pass_time(0.005)
         state = fleet.ask(other, ["i-0"], (*parts, Part("c", 9)), "s")["i-0"]
-        self.assertEqual(2, state.found)
+        self.assertEqual(2, state.cached_parts)
         state = fleet.ask(other, ["i-0"], parts, "another salt")["i-0"]
-        self.assertEqual(0, state.found)
+        self.assertEqual(0, state.cached_parts)
 
     def test_one_that_is_cut_off_from_the_service_hears_of_a_rollout(self):
         """Engines load weights; one entry does not reach the store.
@@ -212,7 +212,7 @@
                 load = dict.fromkeys(candidates, 0)
                 if asking:
                     for name, state in fleet.ask(entry, candidates).items():
-                        load[name] = sum(state.reading)
+                        load[name] = sum(state.pending_prefill)
                         load[name] += entry.work.get(name, (0, 0))[1]
                 name = min(candidates, key=lambda name: load[name])
                 waits.append(truth[name] / 75_000)
--- a/tests/policy/test_cold_fleet.py
+++ b/tests/policy/test_cold_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet before an endpoint that turns cold, under any course of demand.
+"""A fleet of processes that sends to a cold endpoint, under random demand.
 
-The pattern: processes without requests for a cold endpoint save up their next
-one, and a surge reaches all of them at the same moment.
+Load pattern: processes without requests for a cold endpoint accumulate unused
+send slots, and a surge reaches all of them at the same moment.
 """
 
 from random import Random
@@ -20,12 +20,12 @@
 
 COLD_S = 6.0
 PER_S = 17.0
-# The bound that the platform sets: half as much again, and five.
+# The platform's limit: 1.5 times the announced rate, plus five.
 MOST_PER_S = PER_S * 1.5 + 5
 
 
 class Fleet:
-    """Processes that share a cold endpoint's rate, and what they send."""
+    """Processes that share a cold endpoint's rate, and their requests."""
 
     def __init__(self, processes, random):
         self.now = 0.0
@@ -42,21 +42,23 @@
         return share
 
     def turn_cold(self):
-        """Lets every process learn that the endpoint is cold.
+        """Makes the endpoint cold.
 
-        They hear of it within a tenth of a second.
+        Every process is notified within a tenth of a second.
         """
         self.cold_until = self.now + COLD_S
         for share in self._shares:
-            heard_at = self.now + self._random.uniform(0.0, 0.1)
-            share.begin(heard_at, COLD_S)
+            notified_at = self.now + self._random.uniform(0.0, 0.1)
+            share.record_cold(notified_at, COLD_S)
 
     def restart(self, number):
-        """Starts a process again, which finds the endpoint cold."""
+        """Restarts a process, which finds the endpoint cold."""
         number %= self._processes
         self._shares[number] = self._share(number)
         if self.now < self.cold_until:
-            self._shares[number].begin(self.now, self.cold_until - self.now)
+            self._shares[number].record_cold(
+                self.now, self.cold_until - self.now
+            )
 
     def surge(self, processes):
         """Offers a request to each of the first processes."""
@@ -72,7 +74,7 @@
                 self.sent.append(self.now)
 
     def busiest_second(self):
-        """Returns the most that was sent in any second."""
+        """Returns the maximum number of requests sent in any second."""
         return max(
             (
                 sum(at <= when < at + 1 for when in self.sent)
@@ -83,7 +85,7 @@
 
 
 class ColdFleetMachine(RuleBasedStateMachine):
-    """Surges, pauses, cold starts again, and one restart a second."""
+    """Surges, pauses, repeated cold starts, and one restart per second."""
 
     @initialize(
         processes=st.sampled_from((1, 4, 12, 26)), seed=st.integers(0, 99)
@@ -116,7 +118,7 @@
         self.fleet.restart(number)
 
     @invariant()
-    def the_endpoint_gets_no_more_than_it_tolerates(self):
+    def the_request_rate_stays_within_the_limit(self):
         if hasattr(self, "fleet"):
             most = self.fleet.busiest_second()
             assert most <= MOST_PER_S, most
@@ -129,10 +131,10 @@
 
 
 class IdleFleetTest(TestCase):
-    """Guards against a crash of a cold endpoint under saved-up requests."""
+    """Guards against a crash of a cold endpoint under accumulated slots."""
 
     def busiest_second(self, processes, seed):
-        """Returns the most that is sent in any second of a surge."""
+        """Returns the maximum number of requests in any second of a surge."""
         fleet = Fleet(processes, Random(seed))
         fleet.turn_cold()
         fleet.now = 2.0
@@ -142,7 +144,7 @@
         return fleet.busiest_second()
 
     def test_processes_with_few_requests_use_most_of_the_rate(self):
-        """Guards against a bound that is kept by sending nothing."""
+        """Guards against a limit that is kept by sending almost nothing."""
         random = Random(1)
         for processes in (16, 68, 360):
             fleet = Fleet(processes, random)
@@ -152,7 +154,7 @@
                 fleet.now += 0.05
             self.assertGreater(len(fleet.sent), 0.6 * PER_S * COLD_S)
 
-    def test_a_surge_after_a_pause_stays_below_the_bound_at_every_size(self):
+    def test_a_surge_after_a_pause_stays_within_the_limit_at_every_size(self):
         busiest = {}
         for processes in (1, 4, 8, 12, 16, 17, 26, 31, 68, 360):
             for seed in range(5):
--- a/tests/policy/test_cold_start.py
+++ b/tests/policy/test_cold_start.py
@@ -1,7 +1,7 @@
-"""What a fleet of processes sends to an endpoint that has just started.
+"""Request rate of a fleet to an endpoint that has just started.
 
-The pattern: endpoints come back together, and every process finds them idle
-at the same moment.
+Load pattern: endpoints return together, and every process sees them as idle at
+the same moment.
 """
 
 from random import Random
@@ -12,25 +12,25 @@
 
 COLD_S = 3.0
 PER_S = 17.0
-# The bound that the platform sets: half as much again, and five.
+# The platform's limit: 1.5 times the announced rate, plus five.
 MOST_PER_S = PER_S * 1.5 + 5
 
 
 def busiest_second(processes, seed, step_s=0.01):
-    """Returns the most sent in any second by processes that never pause.
+    """Returns the maximum rate per second of processes that never pause.
 
-    Each learns of the start within a tenth of a second.
+    Each is notified of the start within a tenth of a second.
     """
     random = Random(seed)
     fleet = [ColdStart() for _ in range(processes)]
-    learned = [random.uniform(0.0, 0.1) for _ in fleet]
+    notified_at = [random.uniform(0.0, 0.1) for _ in fleet]
     for number, cold in enumerate(fleet):
         cold.limit(COLD_S, PER_S / processes, number / processes)
-        cold.begin(learned[number], COLD_S)
+        cold.record_cold(notified_at[number], COLD_S)
     sent = []
     for step in range(round(COLD_S / step_s)):
         now = step * step_s
-        for cold, from_ in zip(fleet, learned, strict=True):
+        for cold, from_ in zip(fleet, notified_at, strict=True):
             if now >= from_ and cold.may_send(now):
                 cold.sent(now)
                 sent.append(now)
@@ -38,9 +38,9 @@
 
 
 class ColdStartTest(TestCase):
-    """Shares of what a cold endpoint tolerates."""
+    """Each process's share of a cold endpoint's request rate."""
 
-    def test_a_fleet_stays_below_the_bound(self):
+    def test_a_fleet_stays_within_the_limit(self):
         for processes in (1, 4, 26, 68, 360):
             for seed in range(5):
                 self.assertLess(busiest_second(processes, seed), MOST_PER_S)
@@ -55,20 +55,20 @@
         for now in range(3):
             self.assertTrue(cold.may_send(now / 100))
             cold.sent(now / 100)
-        cold.begin(1.0, COLD_S)
+        cold.record_cold(1.0, COLD_S)
         self.assertTrue(cold.may_send(1.0 + COLD_S))
 
-    def test_a_request_that_was_just_sent_counts(self):
-        """The start is learned of after the first requests have been sent."""
+    def test_a_request_sent_just_before_the_start_is_known_counts(self):
+        """The start becomes known after the first requests were sent."""
         cold = ColdStart()
         cold.limit(COLD_S, 1.0)
         cold.sent(0.0)
-        cold.begin(0.1, COLD_S)
+        cold.record_cold(0.1, COLD_S)
         self.assertFalse(cold.may_send(0.9))
         self.assertAlmostEqual(0.1, cold.wait_s(0.9))
 
-    def test_a_service_without_cold_starts_is_not_presumed_cold(self):
+    def test_a_service_without_cold_starts_is_not_assumed_cold(self):
         cold = ColdStart()
         cold.limit(0.0, 0.0)
-        self.assertFalse(cold.presume(0.0))
+        self.assertFalse(cold.assume_started(0.0))
         self.assertTrue(cold.may_send(0.0))
--- a/tests/policy/test_crash_counter.py
+++ b/tests/policy/test_crash_counter.py
@@ -2,8 +2,8 @@
 
 from testtools import TestCase
 
-from magnolialug.policy.answered import Answered
 from magnolialug.policy.crashcounter import CrashCounter, Term
+from magnolialug.policy.recentanswers import RecentAnswers
 
 
 class CrashCounterTest(TestCase):
@@ -68,19 +68,19 @@
     """An answer clears a request of the ends of one fault."""
 
     def test_ends_together_are_one_fault(self):
-        answered = Answered()
+        answered = RecentAnswers()
         answered.add("d")
         for now in (5.0, 5.0, 5.9):
-            self.assertTrue(answered.clears("d", now))
-        self.assertFalse(answered.clears("d", 6.1))
-        self.assertFalse(answered.clears("d", 6.2))
+            self.assertTrue(answered.rules_out("d", now))
+        self.assertFalse(answered.rules_out("d", 6.1))
+        self.assertFalse(answered.rules_out("d", 6.2))
 
     def test_what_was_never_answered_is_not_cleared(self):
-        self.assertFalse(Answered().clears("d", 0.0))
+        self.assertFalse(RecentAnswers().rules_out("d", 0.0))
 
     def test_what_is_remembered_is_bounded(self):
-        answered = Answered()
+        answered = RecentAnswers()
         for number in range(4097):
             answered.add(f"d{number}")
-        self.assertFalse(answered.clears("d0", 0.0))
-        self.assertTrue(answered.clears("d4096", 0.0))
+        self.assertFalse(answered.rules_out("d0", 0.0))
+        self.assertTrue(answered.rules_out("d4096", 0.0))
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tables of small decisions: input beside expected output."""
+"""Table-driven tests of small policy functions."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 class RetryTest(TestCase):
     """When a request may be tried again."""
 
-    def test_table(self):
+    def test_which_endings_may_be_retried(self):
         cases = (
             # ending, idempotent, wait left, started, code
             (NOT_RUN, False, 1.0, False, None),
@@ -37,11 +37,11 @@
             failure = may_retry(ending, idempotent, left, started, Budget())
             self.assertEqual(code, failure.code if failure else None)
 
-    def test_budget_bounds_a_storm(self):
-        """Everything fails for a while.
+    def test_budget_limits_a_retry_storm(self):
+        """Guards against retries that multiply the load in an outage.
 
-        Symptom: retries multiply the load. Cause: each request retries on
-        its own; the budget allows a fifth of the first attempts.
+        All attempts fail for a while, and each request retries independently.
+        The budget allows retries for a fifth of the first attempts.
         """
         budget = Budget()
         allowed = 0
@@ -58,7 +58,7 @@
 
 
 class AdmissionTest(TestCase):
-    """A team's limits."""
+    """The rate and concurrency limits of a team."""
 
     def test_rate_is_shared_over_live_entries(self):
         for entries, expected in ((1, 20), (2, 10), (4, 5)):
@@ -70,7 +70,7 @@
             self.assertEqual(Code.RATE_LIMITED, passed[-1].code)
             self.assertGreater(passed[-1].retry_after_s, 0)
 
-    def test_concurrency(self):
+    def test_concurrency_limit_per_team(self):
         admission = Admission()
         limit = Limit(1000.0, 2)
         codes = [admission.admit("a", limit, 0.0) for _ in range(3)]
@@ -81,9 +81,9 @@
 
 
 class MembershipTest(TestCase):
-    """Who may get work."""
+    """Which endpoints are eligible."""
 
-    def test_connections_beat_the_list_and_ejection_is_capped(self):
+    def test_connections_override_the_list_and_ejection_is_capped(self):
         members = Members()
         members.listed(NAMES)
         for name in NAMES:
@@ -109,9 +109,9 @@
 
 
 class CacheTest(TestCase):
-    """Block ids, beliefs, gaps, links."""
+    """Block ids, cache estimates, return intervals, link rates."""
 
-    def test_chains_and_roots_are_apart(self):
+    def test_block_chains_and_roots_are_distinct_per_team_and_weights(self):
         prompt = "x" * 3000
         seeds = [
             chain_seed(team, model, weights)
@@ -131,11 +131,11 @@
             prompt_root("a", "p", "key"), prompt_root("a", "q", "key")
         )
 
-    def test_beliefs_age_by_volume_and_are_voided_by_epochs(self):
+    def test_estimates_expire_by_volume_and_by_epoch(self):
         beliefs = Beliefs(10)
         beliefs.seen_engine("r", "e", EngineBelief(600, 1000, 1))
         cases = (
-            # filled since, epoch, believed
+            # filled since, epoch, estimated
             (1000, 1, 600),
             (1400, 1, 600),
             (1401, 1, 0),
@@ -145,7 +145,7 @@
             got = beliefs.engine_tokens("r", "e", filled, epoch, 1000)
             self.assertEqual(tokens, got)
 
-    def test_a_prompt_that_is_due_has_a_better_chance_than_a_new_one(self):
+    def test_a_prompt_due_to_return_has_a_higher_chance_than_a_new_one(self):
         gaps = Gaps()
         gaps.visit(["k"], None)
         for _ in range(50):
@@ -159,7 +159,7 @@
         self.assertLess(fresh, 0.1)
         self.assertLess(gone, due / 2)
 
-    def test_a_wait_drains_and_a_slow_link_is_remembered(self):
+    def test_the_wait_decreases_and_a_slow_link_is_remembered(self):
         links = LinkRate({Tier.DISK: 1e9})
         links.observe(Tier.DISK, 10**9, 9.0, 0.0)
         expected = [links.expect(Tier.DISK, 10**9, at) for at in (0, 4, 20)]
--- a/tests/policy/test_lapse.py
+++ b/tests/policy/test_lapse.py
@@ -1,4 +1,4 @@
-"""When an entry can be missing because the registry was away."""
+"""Whether an entry may be missing because of a registry outage."""
 
 from testtools import TestCase
 
@@ -8,10 +8,10 @@
 
 
 class LapseTest(TestCase):
-    """An entry ends after three heartbeat intervals without a heartbeat."""
+    """An entry expires after three heartbeat intervals without a heartbeat."""
 
-    def test_none_lapses_within_two_intervals_of_an_outage(self):
+    def test_no_entry_expires_within_two_intervals_of_an_outage(self):
         self.assertFalse(may_have_lapsed(2.3, _HEARTBEAT_S))
 
-    def test_one_may_lapse_soon_after_the_heartbeat_that_came_last(self):
+    def test_an_entry_may_expire_two_intervals_after_the_outage_began(self):
         self.assertTrue(may_have_lapsed(2.4, _HEARTBEAT_S))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 from magnolialug import events
 from magnolialug.events import Event
 from magnolialug.logwriter import LogWriter
-from magnolialug.policy.logbounds import Grade, LogBounds
+from magnolialug.policy.loglimiter import Grade, LogLimiter
 from magnolialug.requestlog import RequestLog
 
 
@@ -73,18 +73,18 @@
     """Ten times the load that the bounds leave room for."""
 
     def test_the_bound_holds_under_ten_times_the_load(self):
-        bounds = LogBounds(detail_per_s=400, kept_per_s=400)
+        bounds = LogLimiter(detail_per_s=400, kept_per_s=400)
         written = {Grade.DETAIL: 0, Grade.KEPT: 0}
         now = 100.0
         for _ in range(10 * 4000):
             now += 1 / 4000
             written[Grade.DETAIL] += bounds.take(Grade.DETAIL, now)
         self.assertLessEqual(written[Grade.DETAIL], 400 * 10 + 400 + 1)
-        self.assertEqual(40_000 - written[Grade.DETAIL], bounds.told())
-        self.assertEqual(0, bounds.told())
+        self.assertEqual(40_000 - written[Grade.DETAIL], bounds.take_dropped())
+        self.assertEqual(0, bounds.take_dropped())
 
     def test_what_explains_failures_has_room_of_its_own(self):
-        bounds = LogBounds(detail_per_s=10, kept_per_s=10)
+        bounds = LogLimiter(detail_per_s=10, kept_per_s=10)
         while bounds.take(Grade.DETAIL, 1.0):
             pass
         self.assertTrue(bounds.take(Grade.KEPT, 1.0))
@@ -97,11 +97,11 @@
         """Returns the events that are written while work is done."""
         lines = []
         sink = logger.add(lines.append, format="{message}")
-        events._bounds = LogBounds(detail_per_s=0, kept_per_s=100)
+        events._bounds = LogLimiter(detail_per_s=0, kept_per_s=100)
         try:
             work()
         finally:
-            events._bounds = LogBounds()
+            events._bounds = LogLimiter()
             logger.remove(sink)
         return [msgspec.json.decode(str(line))["name"] for line in lines]
 
