--- a/magnolialug/ctl/account.py
+++ b/magnolialug/ctl/account.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from magnolialug.ctl.records import read_records, time_of
-from magnolialug.policy.partplan import Miss
+from magnolialug.policy.partplan import MissReason
 
 __all__ = ["Account", "Ending", "Reread", "account", "as_tables"]
 
@@ -19,7 +19,7 @@
 _SILENT_S = 0.8
 # A caller that leaves this close to its deadline has waited for all of it.
 _DEADLINE_S = 0.15
-_MISSES = frozenset(miss.value for miss in Miss)
+_MISSES = frozenset(miss.value for miss in MissReason)
 
 
 class Ending(enum.Enum):
@@ -49,7 +49,7 @@
     LOST = "not whole, or its news lost"
     RESTARTED = "store restarted"
     UNSAVED = "never stored"
-    UNHEARD = "store unheard"
+    NO_CONTACT = "store unheard"
     REPLACED = "other version"
     BEHIND = "behind a missing part"
 
@@ -244,15 +244,18 @@
     def _why(self, before: _Sent | None, source: str, at: float) -> Reread:
         if source not in _MISSES:
             return Reread.BEHIND
-        if source == Miss.UNHEARD.value:
-            return Reread.UNHEARD
-        if source == Miss.REPLACED.value:
+        if source == MissReason.NO_CONTACT.value:
+            return Reread.NO_CONTACT
+        if source == MissReason.REPLACED.value:
             return Reread.REPLACED
         if before is None or at - before.at < _READ_WITHIN_S:
             return Reread.UNDER_WAY
         if any(before.at < restart < at for restart in self._restarts):
             return Reread.RESTARTED
-        if before.source in (Miss.NO_ROOM.value, Miss.CLOSED.value):
+        if before.source in (
+            MissReason.NO_ROOM.value,
+            MissReason.NOT_WRITABLE.value,
+        ):
             return Reread.UNSAVED
         return Reread.LOST
 
--- a/magnolialug/entry/claims.py
+++ b/magnolialug/entry/claims.py
@@ -12,12 +12,12 @@
 from magnolialug.platform.kv import Kv, KvEntry
 from magnolialug.policy.claim import (
     Claim,
-    ClaimNext,
-    after_write,
+    ClaimAction,
     body_digest,
     claim_key,
-    read_claim,
-    write_claim,
+    decode_claim,
+    encode_claim,
+    next_action,
 )
 from magnolialug.policy.retry import Backoff
 from magnolialug.result import Code, Failure, failed
@@ -40,7 +40,7 @@
       revision: its revision in the KV.
     """
 
-    next: ClaimNext
+    next: ClaimAction
     claim: Claim
     revision: int
 
@@ -118,14 +118,14 @@
         found = await self._kv.get(claim_key(call.team, call.service, call.key))
         if found is None or isinstance(found, Failure):
             return found
-        claim = read_claim(found.value)
+        claim = decode_claim(found.value)
         if claim.digest != body_digest(call.kind_name, call.body):
             return failed(Code.KEY_REUSED, field="Idempotency-Key")
         if claim.answer is not None:
-            return Held(ClaimNext.ANSWERED, claim, found.revision)
+            return Held(ClaimAction.ANSWERED, claim, found.revision)
         if claim.unrun:
             return None
-        return Held(ClaimNext.FOLLOW, claim, found.revision)
+        return Held(ClaimAction.FOLLOW, claim, found.revision)
 
     async def _try(
         self, key: str, mine: Claim, revision: int
@@ -133,9 +133,9 @@
         lease = await self._lease_now()
         if isinstance(lease, Failure):
             return lease
-        swap = await self._kv.put_if(key, write_claim(mine), revision, lease)
+        swap = await self._kv.put_if(key, encode_claim(mine), revision, lease)
         if not isinstance(swap, Failure) and swap.won:
-            return Held(ClaimNext.RUN, mine, swap.revision)
+            return Held(ClaimAction.RUN, mine, swap.revision)
         found = swap if isinstance(swap, Failure) else swap.current
         if isinstance(found, Failure):
             found = await self._kv.get(key)
@@ -146,12 +146,12 @@
     def _held(
         self, mine: Claim, found: KvEntry | None, revision: int
     ) -> Held | Failure:
-        claim = read_claim(found.value) if found else None
-        step = after_write(mine, claim)
+        claim = decode_claim(found.value) if found else None
+        step = next_action(mine, claim)
         if isinstance(step, Failure):
             return step
         unwritten = found is not None and found.revision == revision
-        if step is ClaimNext.READ_BACK or unwritten:
+        if step is ClaimAction.READ_BACK or unwritten:
             return failed(Code.KV_TIMEOUT, "the write has not been applied")
         return Held(step, claim, found.revision)
 
@@ -186,7 +186,7 @@
         backoff = Backoff()
         for _ in range(_ANSWER_TRIES):
             swap = await self._kv.put_if(
-                key, write_claim(claim), held.revision, self._lease
+                key, encode_claim(claim), held.revision, self._lease
             )
             if not isinstance(swap, Failure):
                 return
--- a/magnolialug/entry/costs.py
+++ b/magnolialug/entry/costs.py
@@ -116,14 +116,14 @@
         for number, part in enumerate(prompt.parts):
             if number >= own:
                 told = known.stored.get((salt, part.name))
-                if told is None or told.word is not PartStatus.HELD:
+                if told is None or told.status is not PartStatus.HELD:
                     break
                 store = self._stores.traits.get(told.store)
                 if store is None:
                     break
                 fetch_s += store.fetch_s(part.tokens, peer.listed.zone)
             held += part.tokens
-        return prompt.tokens_in - held, fetch_s
+        return prompt.input_tokens - held, fetch_s
 
     def _plain_cost(self, peer: Peer, now: float) -> float:
         taken = peer.taken(now)
--- a/magnolialug/entry/directory.py
+++ b/magnolialug/entry/directory.py
@@ -12,8 +12,8 @@
 from magnolialug.ids import EndpointId, ServiceName, ZoneId
 from magnolialug.owners.ledgers import EndpointFacts
 from magnolialug.policy.coldstart import ColdStart
+from magnolialug.policy.endedinstances import EndedInstances
 from magnolialug.policy.engineload import EngineLoad
-from magnolialug.policy.lifetimes import Lifetimes
 from magnolialug.policy.listed import Listed
 from magnolialug.policy.oldweights import EngineWeights
 from magnolialug.policy.ring import Ring
@@ -52,7 +52,7 @@
         self.rollout_at = float("-inf")
         self._by_service: dict[ServiceName, list[Peer]] = {}
         self._rings: dict[ServiceName, Ring] = {}
-        self._lifetimes = Lifetimes()
+        self._lifetimes = EndedInstances()
         self._routing: Routing | None = None
         self._evacuated: frozenset[ZoneId] = frozenset()
         self._reactor = reactor
@@ -149,7 +149,7 @@
 
     def listed(self, entry: Listed) -> None:
         """Takes a new or changed registry entry."""
-        if self._lifetimes.is_over(entry.endpoint, entry.born_ms):
+        if self._lifetimes.has_ended(entry.endpoint, entry.born_ms):
             emit(Event.ENDPOINT_STALE, endpoint=entry.endpoint)
             return
         peer = self.peers.get(entry.endpoint)
@@ -183,7 +183,7 @@
         """
         if peer.gone or not _is_another(peer, born_ms):
             return True
-        if not self._lifetimes.is_over(peer.listed.endpoint, born_ms):
+        if not self._lifetimes.has_ended(peer.listed.endpoint, born_ms):
             entry = msgspec.structs.replace(
                 peer.listed, born_ms=born_ms, weights=peer.all_weights()
             )
@@ -193,7 +193,7 @@
     def found(self, peer: Peer, instance: EndpointId) -> None:
         """Learns which endpoint answers at a peer's address in its place."""
         self.misplaced(peer)
-        self._lifetimes.over(peer.listed.endpoint, peer.listed.born_ms)
+        self._lifetimes.mark_ended(peer.listed.endpoint, peer.listed.born_ms)
         true = self.peers.get(instance)
         if true is not None and true.gone:
             self._revive(true)
@@ -300,7 +300,7 @@
             born_ms=entry.born_ms,
         )
         if _is_another(peer, entry.born_ms):
-            self._lifetimes.over(entry.endpoint, peer.listed.born_ms)
+            self._lifetimes.mark_ended(entry.endpoint, peer.listed.born_ms)
         self._remove(peer)
         peer.ended_at = self._reactor.seconds()
         self._add(entry).starts_cold(peer.ended_at)
@@ -313,7 +313,7 @@
     def _revive(self, peer: Peer) -> None:
         """Uses an endpoint again that another seemed to have displaced."""
         entry = peer.listed
-        self._lifetimes.goes_on(entry.endpoint, entry.born_ms)
+        self._lifetimes.unmark_ended(entry.endpoint, entry.born_ms)
         self._remove(peer)
         self._add(entry)
 
@@ -329,7 +329,7 @@
             if peer.listed.address != entry.address or peer.gone:
                 continue
             before = peer.listed
-            self._lifetimes.over(before.endpoint, before.born_ms)
+            self._lifetimes.mark_ended(before.endpoint, before.born_ms)
             emit(
                 Event.ENDPOINT_REPLACED,
                 endpoint=before.endpoint,
--- a/magnolialug/entry/dispatcher.py
+++ b/magnolialug/entry/dispatcher.py
@@ -8,7 +8,7 @@
 from magnolialug.entry.peer import Peer
 from magnolialug.entry.proberesults import ProbeResults
 from magnolialug.ids import ServiceName
-from magnolialug.policy.partplan import Miss, PartPlan, plan_of
+from magnolialug.policy.partplan import MissReason, PartPlan, plan_part
 from magnolialug.policy.prompt import Part, Prompt
 from magnolialug.policy.storemap import StoreMap
 
@@ -84,7 +84,7 @@
             return []
         may_save = weights >= self._newest(prompt.model)
         return [
-            plan_of((salt, part.name), known.stored, may_save)
+            plan_part((salt, part.name), known.stored, may_save)
             for part in prompt.shared
         ]
 
@@ -111,4 +111,4 @@
     found = [FROM_ENGINE] * held
     found += [plan.fetch or plan.miss.value for plan in plans[held:]]
     missing = len(prompt.shared) - len(found)
-    return (*found, *[Miss.CLOSED.value] * missing)
+    return (*found, *[MissReason.NOT_WRITABLE.value] * missing)
--- a/magnolialug/entry/fleet.py
+++ b/magnolialug/entry/fleet.py
@@ -13,8 +13,12 @@
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import EndpointId, EntryId, ZoneId
 from magnolialug.policy.admission import Admission
-from magnolialug.policy.belief import Beliefs, EngineBelief, StoreBelief
 from magnolialug.policy.blocks import token_count
+from magnolialug.policy.cacheestimates import (
+    CacheEstimates,
+    EngineCacheEstimate,
+    StoreCacheEstimate,
+)
 from magnolialug.policy.load import (
     EndpointView,
     clear_unreported,
@@ -63,7 +67,7 @@
     ):
         self.upstreams: dict[EndpointId, Upstream] = {}
         self.members = Members()
-        self.beliefs = Beliefs(_BELIEF_LIMIT)
+        self.beliefs = CacheEstimates(_BELIEF_LIMIT)
         self.views: dict[EndpointId, EndpointView] = {}
         self._entry = entry
         self._zone = zone
@@ -210,10 +214,12 @@
         view = self.views.get(endpoint)
         if view is None or not call.model:
             return
-        belief = EngineBelief(done.prompt_tokens, view.filled, view.epoch)
-        self.beliefs.seen_engine(call.root, endpoint, belief)
-        self.beliefs.seen_store(
-            call.root, StoreBelief(done.prompt_tokens, True)
+        belief = EngineCacheEstimate(
+            done.prompt_tokens, view.filled, view.epoch
+        )
+        self.beliefs.record_engine(call.root, endpoint, belief)
+        self.beliefs.record_store(
+            call.root, StoreCacheEstimate(done.prompt_tokens, True)
         )
 
     def expected_wait(self, endpoint: EndpointId, priority: int) -> float:
--- a/magnolialug/entry/forwardcall.py
+++ b/magnolialug/entry/forwardcall.py
@@ -3,8 +3,8 @@
 from magnolialug.config.routing import Route
 from magnolialug.entry.call import Call
 from magnolialug.ids import RequestDigest
+from magnolialug.policy.cachenamespace import cache_namespace
 from magnolialug.policy.prompt import Prompt
-from magnolialug.policy.salt import salt_of
 
 __all__ = ["ForwardCall", "HeaderList"]
 
@@ -45,4 +45,6 @@
           weights: the version at the engine, 0 if not known.
         """
         team = self.team if self.isolated else ""
-        return salt_of(team, self.prompt.model, weights) or f"?{self.name}"
+        return (
+            cache_namespace(team, self.prompt.model, weights) or f"?{self.name}"
+        )
--- a/magnolialug/entry/gateway.py
+++ b/magnolialug/entry/gateway.py
@@ -148,13 +148,15 @@
         shortlist = CandidateList(
             self.directory, settings.zone, self._bounds, reactor.seconds
         )
-        costs = Costs(settings.zone, self.prefix_cache.map, reactor.seconds)
+        costs = Costs(
+            settings.zone, self.prefix_cache.store_map, reactor.seconds
+        )
         reporter = self.owners.load_reporter
         self._placer = Placer(
             self.directory,
             shortlist,
             costs,
-            Dispatcher(costs, self.prefix_cache.map, self._newest),
+            Dispatcher(costs, self.prefix_cache.store_map, self._newest),
             Listeners(
                 reporter.sent,
                 reporter.changed,
@@ -206,7 +208,7 @@
                 # Before the endpoints: a cold one is shared by all entries.
                 ENTRIES_PREFIX: self._entries,
                 REGISTRY_PREFIX: self.registry,
-                QUARANTINE_KEYS: self.quarantine.written,
+                QUARANTINE_KEYS: self.quarantine.quarantined,
                 LEADER_KEY: self._lease,
             },
             reactor,
@@ -355,7 +357,9 @@
                 "ready": lambda: int(self.ready()),
                 "order_lease_held": lambda: int(self._lease.held),
                 "entries": lambda: self.directory.entries,
-                "requests_quarantined": lambda: len(self.quarantine.written),
+                "requests_quarantined": lambda: len(
+                    self.quarantine.quarantined
+                ),
                 "kv_in_touch": lambda: int(self._watch_client.in_touch),
             },
         )
--- a/magnolialug/entry/gatewayintake.py
+++ b/magnolialug/entry/gatewayintake.py
@@ -5,8 +5,8 @@
 from magnolialug.entry.gatewaychannel import GatewayRequest
 from magnolialug.ids import KindName, TeamId
 from magnolialug.platform.requests import Marks, read_marks
-from magnolialug.policy.digest import digest_of
 from magnolialug.policy.rank import rank
+from magnolialug.policy.requestdigest import request_digest
 from magnolialug.policy.routes import RouteTable, share_of
 from magnolialug.result import Code, Failure, failed
 
@@ -86,7 +86,7 @@
         target=req.uri,
         headers=marks.passed,
         body=body,
-        digest=digest_of(team.name, req.uri, body),
+        digest=request_digest(team.name, req.uri, body),
         prompt=marks.prompt,
         priority=rank(team.priority, route.priority),
         isolated=team.isolated,
--- a/magnolialug/entry/gauges.py
+++ b/magnolialug/entry/gauges.py
@@ -36,9 +36,9 @@
     """
 
     def ages() -> Iterator[tuple[float, dict]]:
-        for name, poll in parts.watch.kept():
+        for name, poll in parts.store_pollers.indexed():
             if poll.index.epoch:
-                yield clock() - poll.index.heard_at, {"store": name}
+                yield clock() - poll.index.last_contact_at, {"store": name}
 
     def retries() -> Rows:
         return [
--- a/magnolialug/entry/httpcarrier.py
+++ b/magnolialug/entry/httpcarrier.py
@@ -185,7 +185,7 @@
         if prompt is not None:
             tokens = self._metrics.tokens
             tokens.add(placed.unread, {"source": "read"})
-            tokens.add(prompt.tokens_in - placed.unread, {"source": "kept"})
+            tokens.add(prompt.input_tokens - placed.unread, {"source": "kept"})
             self._metrics.parts.add(sum(map(bool, to.fetch)), _FETCHED)
             self._metrics.parts.add(sum(map(bool, to.save)), _SAVED)
         self._log.emit(
@@ -295,9 +295,9 @@
         if answer is not None and answer.not_run:
             return
         if outcome.end is End.WHOLE:
-            self._quarantine.survived(self._call.digest)
+            self._quarantine.record_completion(self._call.digest)
         elif outcome.end in _CLOSED_ON_US and not peer.leaving:
-            self._quarantine.lost(
+            self._quarantine.record_loss(
                 peer.start, peer.pool, self._call.digest, outcome.begun
             )
 
--- a/magnolialug/entry/linkcarrier.py
+++ b/magnolialug/entry/linkcarrier.py
@@ -13,7 +13,7 @@
 from magnolialug.entry.serving import Means
 from magnolialug.events import Event, emit
 from magnolialug.ids import EndpointId, new_request_id
-from magnolialug.policy.claim import ClaimNext
+from magnolialug.policy.claim import ClaimAction
 from magnolialug.policy.placement import Placement
 from magnolialug.policy.retry import Ending
 from magnolialug.result import Code, Failure, failed
@@ -144,14 +144,14 @@
         mine = claims.new_claim(self._call, endpoint, attempt)
         revision = self._held.revision if self._held else 0
         held = await claims.take(self._call, mine, revision)
-        while isinstance(held, Held) and held.next is ClaimNext.MOVE:
+        while isinstance(held, Held) and held.next is ClaimAction.MOVE:
             held = await claims.take(self._call, mine, held.revision)
         if isinstance(held, Failure):
             return held
-        if held.next is ClaimNext.ANSWERED:
+        if held.next is ClaimAction.ANSWERED:
             return self._found(held)
         self._held = held
-        following = held.next is ClaimNext.FOLLOW
+        following = held.next is ClaimAction.FOLLOW
         made = Event.CLAIM_MOVED if self._number > 1 else Event.CLAIM_MADE
         emit(
             Event.CLAIM_FOLLOWED if following else made,
@@ -179,7 +179,7 @@
         if isinstance(held, Failure):
             reused = held.code is Code.KEY_REUSED
             return held if reused else refusal
-        if held.next is ClaimNext.ANSWERED:
+        if held.next is ClaimAction.ANSWERED:
             return self._found(held)
         self._held = held
         end = await self._under_claim(Start.FOLLOW)
--- a/magnolialug/entry/peertalk.py
+++ b/magnolialug/entry/peertalk.py
@@ -26,7 +26,7 @@
 from magnolialug.quarantine.messages import (
     CrashReport,
     Quarantined,
-    Survived,
+    RequestCompleted,
 )
 
 __all__ = ["Message", "PeerTalk"]
@@ -40,7 +40,7 @@
     | Quarantined
     | SaveCancelled
     | SaveNotice
-    | Survived
+    | RequestCompleted
     | LoadReply
     | PartReply
     | AdmissionReply
--- a/magnolialug/entry/proberesults.py
+++ b/magnolialug/entry/proberesults.py
@@ -4,7 +4,7 @@
 
 from magnolialug.ids import EndpointId
 from magnolialug.policy.choice import Candidate
-from magnolialug.policy.partplan import Stored
+from magnolialug.policy.partplan import PartReport
 from magnolialug.policy.sharedload import EndpointState
 from magnolialug.policy.storeindex import PartKey
 
@@ -23,5 +23,5 @@
 
     count: int = 0
     states: dict[EndpointId, EndpointState] = {}
-    stored: dict[PartKey, Stored] = {}
+    stored: dict[PartKey, PartReport] = {}
     candidates: list[Candidate] = []
--- a/magnolialug/measure/ablation.py
+++ b/magnolialug/measure/ablation.py
@@ -58,14 +58,16 @@
     Mechanism("reading again", "policy/enginecost.py", "_READ_AGAIN", "0.0"),
     Mechanism("place on the ring", "policy/enginecost.py", "_RANK_S", "0.0"),
     Mechanism("fetch queue", "policy/enginecost.py", "_FETCH_QUEUE", "1.0"),
-    Mechanism("fetch bound", "policy/storeindex.py", "_FETCH_S", "4.0"),
+    Mechanism("fetch bound", "policy/storeindex.py", "_FETCH_VALID_S", "4.0"),
     Mechanism(
         "frees of old weights",
         "prefixcache/garbagecollector.py",
-        "_LOOK_S",
+        "_SCAN_INTERVAL_S",
         "1e9",
     ),
-    Mechanism("second store owner", "prefixcache/wiring.py", "_OWNERS", "1"),
+    Mechanism(
+        "second store owner", "prefixcache/wiring.py", "_OWNERS_PER_STORE", "1"
+    ),
     Mechanism("stand-ins", "owners/ownerring.py", "FIRST", "1"),
     Mechanism("patience", "entry/placer.py", "_TARGETS", "1e9"),
     Mechanism("health pauses", "policy/health.py", "_FIRST_PAUSE_S", "0.0"),
--- a/magnolialug/measure/actors.py
+++ b/magnolialug/measure/actors.py
@@ -7,14 +7,14 @@
 
 from magnolialug.measure.fakes import Engine
 from magnolialug.measure.workload import Req, Workload
-from magnolialug.policy.belief import Beliefs
+from magnolialug.policy.cacheestimates import CacheEstimates
 from magnolialug.policy.lineup import Lineup
-from magnolialug.policy.linkrate import LinkRate
+from magnolialug.policy.linkestimator import LinkEstimator
 from magnolialug.policy.load import EndpointView, sent
 from magnolialug.policy.membership import Members
 from magnolialug.policy.retry import Backoff, Budget
 from magnolialug.policy.ring import Ring
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Failure
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         self.random = Random(seed)
         self.members = Members()
         self.members.listed(names)
-        self.beliefs = Beliefs(_BELIEFS)
+        self.beliefs = CacheEstimates(_BELIEFS)
         self.ring = Ring(names)
         self.budget = Budget()
         self.views = {
@@ -93,7 +93,7 @@
         self.alive = True
         self.draining_since: float | None = None
         self.deaf_until = 0.0
-        self.links = LinkRate(dict(RATE))
+        self.links = LinkEstimator(dict(RATE))
         self.run_s = 2.0
 
     def unstarted(self) -> list[Ticket]:
--- a/magnolialug/measure/choosers.py
+++ b/magnolialug/measure/choosers.py
@@ -8,7 +8,7 @@
 
 from magnolialug.measure.fakes import TOKEN_BYTES
 from magnolialug.policy.placement import Job, LinkView, Placement, place
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Code, Failure, failed
 
 if TYPE_CHECKING:
--- a/magnolialug/measure/fakes.py
+++ b/magnolialug/measure/fakes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from magnolialug.policy.stored import BlockMeta, StoredBlock, Tier
+from magnolialug.policy.storedblock import BlockMeta, StoredBlock, Tier
 
 __all__ = ["Engine", "Loop", "Store"]
 
--- a/magnolialug/measure/gatewayslopes.py
+++ b/magnolialug/measure/gatewayslopes.py
@@ -30,9 +30,9 @@
 from magnolialug.platform.operator import read_routing
 from magnolialug.platform.requests import endpoint_request, read_marks
 from magnolialug.policy.choice import choose
-from magnolialug.policy.digest import digest_of
 from magnolialug.policy.endpointledger import EndpointLedger
 from magnolialug.policy.listed import Listed
+from magnolialug.policy.requestdigest import request_digest
 from magnolialug.policy.routes import RouteTable
 from magnolialug.policy.sharedload import Placement, WorkShare
 from magnolialug.policy.storeindex import StoreIndex
@@ -117,7 +117,7 @@
         target=b"/a/b",
         headers=marks.passed,
         body=_BODY,
-        digest=digest_of("t1", b"/a/b", _BODY),
+        digest=request_digest("t1", b"/a/b", _BODY),
         prompt=marks.prompt,
     )
 
@@ -238,7 +238,7 @@
 def _book(parts: int) -> StoreIndex:
     book = StoreIndex("a", 10**9)
     for number in range(parts):
-        book.added(("/m/1", f"{number:08x}"), 8610)
+        book.add_part(("/m/1", f"{number:08x}"), 8610)
     return book
 
 
--- a/magnolialug/measure/keeper.py
+++ b/magnolialug/measure/keeper.py
@@ -8,8 +8,13 @@
 
 from magnolialug.measure.fakes import TOKEN_BYTES, Store
 from magnolialug.measure.workload import Req, Workload
-from magnolialug.policy.keep import Gaps, Room, chance_by_gaps, choose_victims
-from magnolialug.policy.stored import BlockMeta, StoredBlock, Tier
+from magnolialug.policy.eviction import (
+    ReturnIntervals,
+    SpaceRequest,
+    chance_from_intervals,
+    choose_victims,
+)
+from magnolialug.policy.storedblock import BlockMeta, StoredBlock, Tier
 
 __all__ = ["Keeper"]
 
@@ -31,9 +36,9 @@
             "future": self._by_future,
         }[way]
         self._random = random
-        self._gaps = Gaps()
+        self._gaps = ReturnIntervals()
         self._weights = ""
-        self._chance = chance_by_gaps(
+        self._chance = chance_from_intervals(
             self._gaps, lambda weights: weights == self._weights
         )
         self._seen: dict[str, float] = {}
@@ -55,7 +60,7 @@
         self._weights = root.partition("@")[2]
         keys = (req.shape.name, f"{req.team}/{req.shape.name}", req.root)
         last = self._seen.get(req.root)
-        self._gaps.visit(keys, None if last is None else now - last)
+        self._gaps.record_visit(keys, None if last is None else now - last)
         self._seen[req.root] = now
         size = req.tokens * TOKEN_BYTES
         meta = BlockMeta(
@@ -65,19 +70,21 @@
             work_s=req.tokens / rate,
             used_at=now,
         )
-        room = Room(size, meta, now)
+        room = SpaceRequest(size, meta, now)
         for tier in (Tier.MEMORY, Tier.DISK):
             if self._free(store, tier, room, root):
                 store.put(root, size, tier, meta)
                 return
 
-    def _free(self, store: Store, tier: Tier, room: Room, root: str) -> bool:
+    def _free(
+        self, store: Store, tier: Tier, room: SpaceRequest, root: str
+    ) -> bool:
         old = store.find(root)
         mine = old.length if old and old.tier is tier else 0
         lack = room.size - mine - (store.room[tier] - store.used[tier])
         if lack <= 0:
             return True
-        wanted = Room(lack, room.meta, room.now)
+        wanted = SpaceRequest(lack, room.meta, room.now)
         victims = self._victims(store, tier, wanted, root)
         for victim in victims:
             if tier is Tier.MEMORY:
@@ -87,7 +94,7 @@
         return bool(victims)
 
     def _demote(self, store: Store, victim: StoredBlock, now: float) -> None:
-        room = Room(victim.length, victim.meta, now)
+        room = SpaceRequest(victim.length, victim.meta, now)
         if self._free(store, Tier.DISK, room, victim.block):
             store.move(victim.block, Tier.DISK)
             store.transfer(Tier.DISK, victim.length)
@@ -95,20 +102,20 @@
             store.remove(victim.block)
 
     def _by_worth(
-        self, store: Store, tier: Tier, room: Room, root: str
+        self, store: Store, tier: Tier, room: SpaceRequest, root: str
     ) -> list[StoredBlock]:
         sample = store.tiers[tier].sample(self._random, _SAMPLE)
         rows = [row for row in sample if row.block != root]
         return choose_victims(rows, room, self._chance)
 
     def _by_use(
-        self, store: Store, tier: Tier, room: Room, root: str
+        self, store: Store, tier: Tier, room: SpaceRequest, root: str
     ) -> list[StoredBlock]:
         rows = store.tiers[tier].rows.values()
         return _until((r for r in rows if r.block != root), room.size)
 
     def _by_future(
-        self, store: Store, tier: Tier, room: Room, root: str
+        self, store: Store, tier: Tier, room: SpaceRequest, root: str
     ) -> list[StoredBlock]:
         rows = [
             (self._next_use(row.block, room.now), row)
--- a/magnolialug/measure/scenario.py
+++ b/magnolialug/measure/scenario.py
@@ -7,7 +7,7 @@
 from magnolialug.measure.choosers import POLICIES
 from magnolialug.measure.workload import WORKLOADS, Workload
 from magnolialug.measure.world import World
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Executed
 
 __all__ = ["SCENARIOS", "figures_of", "run_scenario"]
--- a/magnolialug/measure/slopes.py
+++ b/magnolialug/measure/slopes.py
@@ -25,8 +25,12 @@
 from magnolialug.measure.relay import STATUS, Transport, relay_slopes
 from magnolialug.measure.slope import Slope, bytes_each, micros_each
 from magnolialug.policy.admission import Admission, Limit
-from magnolialug.policy.belief import Beliefs, EngineBelief, StoreBelief
 from magnolialug.policy.blocks import block_chain, prompt_root
+from magnolialug.policy.cacheestimates import (
+    CacheEstimates,
+    EngineCacheEstimate,
+    StoreCacheEstimate,
+)
 from magnolialug.policy.fairqueue import FairQueue
 from magnolialug.policy.gate import Gate
 from magnolialug.policy.load import EndpointView
@@ -81,14 +85,16 @@
     }
 
 
-def _beliefs(count: int) -> Beliefs:
-    beliefs = Beliefs(count)
+def _beliefs(count: int) -> CacheEstimates:
+    beliefs = CacheEstimates(count)
     for number in range(count):
         root = prompt_root("team", str(number))
-        beliefs.seen_engine(
-            root, f"endpoint-{number % 100:04d}", EngineBelief(6000, 0, 0)
+        beliefs.record_engine(
+            root,
+            f"endpoint-{number % 100:04d}",
+            EngineCacheEstimate(6000, 0, 0),
         )
-        beliefs.seen_store(root, StoreBelief(6000, True))
+        beliefs.record_store(root, StoreCacheEstimate(6000, True))
     return beliefs
 
 
--- a/magnolialug/measure/world.py
+++ b/magnolialug/measure/world.py
@@ -19,9 +19,12 @@
 from magnolialug.measure.fakes import TOKEN_BYTES, Loop, Store
 from magnolialug.measure.keeper import Keeper
 from magnolialug.measure.workload import Req, Workload
-from magnolialug.policy.belief import EngineBelief, StoreBelief
+from magnolialug.policy.cacheestimates import (
+    EngineCacheEstimate,
+    StoreCacheEstimate,
+)
 from magnolialug.policy.lineup import Claimant
-from magnolialug.policy.linkrate import import_pays
+from magnolialug.policy.linkestimator import import_is_cheaper
 from magnolialug.policy.load import (
     clear_unreported,
     merge_tokens,
@@ -30,7 +33,7 @@
 from magnolialug.policy.retry import Ending, may_retry
 from magnolialug.policy.ring import Ring
 from magnolialug.policy.slots import in_time, usable_slots
-from magnolialug.policy.stored import StoredBlock, Tier
+from magnolialug.policy.storedblock import StoredBlock, Tier
 from magnolialug.result import Code, Executed, Failure, failed
 
 __all__ = ["World"]
@@ -116,7 +119,9 @@
             store = self.store_of(ticket.root)
             read_s = store.wait_s(row.tier) + size / store.rate[row.tier]
             saved = _tokens(row) - held
-            if import_pays(saved, size, read_s, engine.rate, self.weights):
+            if import_is_cheaper(
+                saved, size, read_s, engine.rate, self.weights
+            ):
                 held = _tokens(row)
             else:
                 read_s, size = 0.0, 0
@@ -285,10 +290,10 @@
     ) -> bool:
         if not self.policy.weighs_reads:
             return True
-        read_s = sidecar.links.expect(tier, size, self.loop.now)
+        read_s = sidecar.links.expected_read_s(tier, size, self.loop.now)
         if self.policy.bound:
             read_s = size / store.rate[tier]
-        return import_pays(
+        return import_is_cheaper(
             size // TOKEN_BYTES,
             size,
             read_s,
@@ -339,17 +344,17 @@
     def _learned(self, sidecar: Sidecar, ticket: Ticket) -> None:
         entry = ticket.entry
         self.tell_status(entry, sidecar)
-        belief = EngineBelief(
+        belief = EngineCacheEstimate(
             ticket.req.tokens,
             sidecar.engine.filled,
             entry.views[sidecar.name].epoch,
         )
-        entry.beliefs.seen_engine(ticket.root, sidecar.name, belief)
+        entry.beliefs.record_engine(ticket.root, sidecar.name, belief)
         row = self.store_of(ticket.root).find(ticket.root)
         stored = None
         if row:
-            stored = StoreBelief(_tokens(row), row.tier is Tier.MEMORY)
-        entry.beliefs.seen_store(ticket.root, stored)
+            stored = StoreCacheEstimate(_tokens(row), row.tier is Tier.MEMORY)
+        entry.beliefs.record_store(ticket.root, stored)
 
     # Heartbeats, while anything is under way.
 
--- a/magnolialug/platform/storehttp.py
+++ b/magnolialug/platform/storehttp.py
@@ -4,7 +4,7 @@
 
 from magnolialug.ids import BlockId
 from magnolialug.platform.http import HttpClient, Reply
-from magnolialug.policy.stored import BlockMeta, StoredBlock, Tier
+from magnolialug.policy.storedblock import BlockMeta, StoredBlock, Tier
 from magnolialug.result import Code, Failure, failed
 
 __all__ = ["StoreHttp"]
--- a/magnolialug/policy/blocks.py
+++ b/magnolialug/policy/blocks.py
@@ -1,4 +1,4 @@
-"""Cache block ids: a keyed hash chain over the prompt."""
+"""Ids of cache blocks: a keyed hash chain over the prompt."""
 
 from hashlib import blake2b
 
@@ -24,11 +24,12 @@
 def chain_seed(
     team: TeamId, model: str, weights: WeightVersion, adapter: str = ""
 ) -> bytes:
-    """Returns the key of a chain.
+    """Returns the hash key of a block chain.
 
     Two teams that send the same prompt, or one team across two weight
-    versions, get different seeds and so share no block id. Each part is
-    preceded by its length, so that no two lists of parts read alike.
+    versions, get different seeds and so share no block id. Each argument is
+    preceded by its length, so that different arguments never give the same
+    hash input.
     """
     digest = blake2b(digest_size=32)
     for part in (team, model, weights, adapter):
@@ -44,10 +45,10 @@
 
 
 def block_chain(seed: bytes, prompt: str) -> list[BlockId]:
-    """Returns the ids of the prompt's whole blocks, first to last.
+    """Returns the ids of the prompt's full blocks, first to last.
 
-    Each id covers the whole prefix up to its block's end, so an equal id
-    means an equal prefix, team, model, weight version and adapter.
+    Each id covers the whole prefix up to the end of its block, so equal ids
+    mean the same prefix, team, model, weight version and adapter.
     """
     data = prompt.encode()
     parent = b""
@@ -62,7 +63,7 @@
 
 
 def block_digest(data: bytes) -> str:
-    """Returns the digest by which a block's reader checks it."""
+    """Returns the digest with which a reader verifies a block."""
     return blake2b(data, digest_size=_ID_BYTES).hexdigest()
 
 
@@ -70,11 +71,11 @@
     """Returns the hash by which a returning prompt finds its endpoints.
 
     Args:
-      team: the team; roots of two teams never coincide.
-      prompt: its first blocks decide, so that a grown dossier keeps its
-        root.
-      cache_key: the caller's own name for the prompt, which then decides
-        alone.
+      team: part of the hash, so that two teams never share a root.
+      prompt: only its first blocks are hashed, so that a prompt that has
+        grown at its end keeps its root.
+      cache_key: the caller's name for the prompt; if given, it is hashed
+        instead of the prompt.
     """
     head = cache_key or prompt.encode()[: _ROOT_BLOCKS * _BLOCK_BYTES].decode(
         errors="ignore"
--- a/magnolialug/policy/claim.py
+++ b/magnolialug/policy/claim.py
@@ -1,4 +1,4 @@
-"""The claim that lets a non-idempotent request run at most once."""
+"""Claims, with which a non-idempotent request runs at most once."""
 
 import enum
 from hashlib import blake2b
@@ -11,25 +11,25 @@
 
 __all__ = [
     "Claim",
-    "ClaimNext",
-    "after_write",
+    "ClaimAction",
+    "next_action",
     "body_digest",
     "claim_key",
-    "read_claim",
-    "write_claim",
+    "decode_claim",
+    "encode_claim",
 ]
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Who may run a non-idempotent request.
+    """The exclusive right of one attempt to run a non-idempotent request.
 
     Attributes:
-      writer: an id of this very write, by which a writer whose answer was
-        lost recognises its own.
-      digest: of the body, so that a reused key is told from a duplicate.
+      writer: a unique id of this write, by which a writer recognises its own
+        claim after the reply to the write was lost.
+      digest: of the body, to distinguish a reused key from a duplicate.
       endpoint: where the attempt runs.
-      answer: the whole answer once it is known, None before.
-      unrun: the attempt is known not to have run and never will.
+      answer: the complete answer once it is known, None before.
+      unrun: whether the attempt did not run and never will.
     """
 
     writer: str
@@ -40,8 +40,8 @@
     unrun: bool = False
 
 
-class ClaimNext(enum.Enum):
-    """What an entry does after a look at a claim."""
+class ClaimAction(enum.Enum):
+    """What an entry does after it has read or written a claim."""
 
     RUN = "run"
     FOLLOW = "follow"
@@ -51,40 +51,43 @@
 
 
 def claim_key(team: str, service: str, key: str) -> str:
-    """Returns the KV key of a claim; the caller's key is hashed."""
+    """Returns the key of a claim in the key-value service.
+
+    The caller's key is hashed.
+    """
     name = blake2b(key.encode(), digest_size=16).hexdigest()
     return f"magnolialug/claims/{team}/{service}/{name}"
 
 
 def body_digest(kind: str, body: str) -> str:
-    """Returns the digest by which duplicates are told from key reuse."""
+    """Returns the digest that distinguishes duplicates from reused keys."""
     data = f"{kind}\0{body}".encode()
     return blake2b(data, digest_size=16).hexdigest()
 
 
-def write_claim(claim: Claim) -> bytes:
-    """Returns a claim as it is written into the KV."""
+def encode_claim(claim: Claim) -> bytes:
+    """Returns a claim as it is written to the key-value service."""
     return msgspec.json.encode(claim)
 
 
-def read_claim(data: bytes) -> Claim:
-    """Returns the claim in a KV value."""
+def decode_claim(data: bytes) -> Claim:
+    """Returns the claim in a value of the key-value service."""
     return msgspec.json.decode(data, type=Claim)
 
 
-def after_write(mine: Claim, found: Claim | None) -> ClaimNext | Failure:
-    """Decides after a create-if-absent or a read.
+def next_action(mine: Claim, found: Claim | None) -> ClaimAction | Failure:
+    """Decides what to do after a create-if-absent or a read.
 
     Args:
-      mine: the claim that was to be written.
-      found: the claim that is there, None if the key is absent.
+      mine: the claim to be written.
+      found: the claim that is stored, None if the key is absent.
     """
     if found is None:
-        return ClaimNext.READ_BACK
+        return ClaimAction.READ_BACK
     if found.writer == mine.writer:
-        return ClaimNext.RUN
+        return ClaimAction.RUN
     if found.digest != mine.digest:
         return failed(Code.KEY_REUSED, field="Idempotency-Key")
     if found.answer is not None:
-        return ClaimNext.ANSWERED
-    return ClaimNext.MOVE if found.unrun else ClaimNext.FOLLOW
+        return ClaimAction.ANSWERED
+    return ClaimAction.MOVE if found.unrun else ClaimAction.FOLLOW
--- a/magnolialug/policy/crashcounter.py
+++ b/magnolialug/policy/crashcounter.py
@@ -1,4 +1,4 @@
-"""How many endpoints have crashed under the same request."""
+"""Counts endpoints that have crashed while serving the same request."""
 
 import enum
 from collections import OrderedDict
@@ -7,25 +7,26 @@
 
 from magnolialug.ids import EndpointId, RequestDigest
 
-__all__ = ["CrashCounter", "Term"]
+__all__ = ["CrashCounter", "QuarantineTerm"]
 
-# A request that had no answer yet may have caused the crash. One that was being
-# answered is more likely a bystander: an engine runs dozens at once.
-_UNANSWERED = 2
-_ANSWERED = 1
-# Two crashes under one request are rarely chance, except in a fault that takes
-# down many endpoints; a temporary quarantine outlasts it. The third crash
-# settles the matter.
-_TEMPORARY_AT = 2 * _UNANSWERED
-_PERMANENT_AT = 3 * _UNANSWERED
-# Crashes further apart say nothing about a request that was there by chance.
-_FORGET_S = 600.0
-# Bounds the memory.
-_MOST_REQUESTS = 10_000
+# A request without an answer yet may have caused the crash. One that was being
+# answered is less likely to be the cause: an engine runs dozens at once.
+_UNANSWERED_POINTS = 2
+_ANSWERED_POINTS = 1
+# Two crashes under the same request are rarely a coincidence, except in a fault
+# that takes down many endpoints; a temporary quarantine lasts longer than such
+# a fault. A third crash makes the quarantine permanent.
+_TEMPORARY_AT_POINTS = 2 * _UNANSWERED_POINTS
+_PERMANENT_AT_POINTS = 3 * _UNANSWERED_POINTS
+# Crashes further apart are no evidence against a request: it may have been in
+# progress by coincidence.
+_CRASH_WINDOW_S = 600.0
+# Bounds memory use.
+_MAX_REQUESTS = 10_000
 
 
-class Term(enum.Enum):
-    """Whether a request is kept from endpoints, and for how long."""
+class QuarantineTerm(enum.Enum):
+    """Whether a request is quarantined, and for how long."""
 
     NONE = "none"
     TEMPORARY = "temporary"
@@ -33,8 +34,8 @@
 
 
 class _Crashes(msgspec.Struct):
-    newest: float
-    ends: dict[EndpointId, int] = {}
+    last_crash_at: float
+    points_by_endpoint: dict[EndpointId, int] = {}
 
 
 class CrashCounter:
@@ -49,34 +50,43 @@
         endpoint: EndpointId,
         answered: bool,
         now: float,
-    ) -> Term:
-        """Counts a crash of an endpoint that had a request.
+    ) -> QuarantineTerm:
+        """Counts a crash of an endpoint that was serving a request.
 
         Args:
-          answered: whether part of the answer had come.
+          answered: whether part of the answer had arrived.
+
+        Returns:
+          whether and for how long the request is to be quarantined.
         """
         row = self._rows.get(digest)
-        if row is None or now - row.newest > _FORGET_S:
+        if row is None or now - row.last_crash_at > _CRASH_WINDOW_S:
             row = self._rows[digest] = _Crashes(now)
-        row.newest = now
+        row.last_crash_at = now
         self._rows.move_to_end(digest)
-        if len(self._rows) > _MOST_REQUESTS:
+        if len(self._rows) > _MAX_REQUESTS:
             self._rows.popitem(last=False)
-        points = _ANSWERED if answered else _UNANSWERED
-        row.ends[endpoint] = max(points, row.ends.get(endpoint, 0))
-        return _term(sum(row.ends.values()))
-
-    def survived(self, digest: RequestDigest) -> None:
-        """Learns that an endpoint has answered a request in full."""
+        points = _ANSWERED_POINTS if answered else _UNANSWERED_POINTS
+        row.points_by_endpoint[endpoint] = max(
+            points, row.points_by_endpoint.get(endpoint, 0)
+        )
+        return _quarantine_term(sum(row.points_by_endpoint.values()))
+
+    def record_completion(self, digest: RequestDigest) -> None:
+        """Clears a request that an endpoint has answered completely."""
         self._rows.pop(digest, None)
 
     def endpoints(self, digest: RequestDigest) -> tuple[EndpointId, ...]:
-        """Returns the endpoints that have crashed under a request."""
+        """Returns the endpoints that crashed while serving a request."""
         row = self._rows.get(digest)
-        return tuple(row.ends) if row else ()
+        return tuple(row.points_by_endpoint) if row else ()
 
 
-def _term(points: int) -> Term:
-    if points >= _PERMANENT_AT:
-        return Term.PERMANENT
-    return Term.TEMPORARY if points >= _TEMPORARY_AT else Term.NONE
+def _quarantine_term(points: int) -> QuarantineTerm:
+    if points >= _PERMANENT_AT_POINTS:
+        return QuarantineTerm.PERMANENT
+    return (
+        QuarantineTerm.TEMPORARY
+        if points >= _TEMPORARY_AT_POINTS
+        else QuarantineTerm.NONE
+    )
--- a/magnolialug/policy/endpointledger.py
+++ b/magnolialug/policy/endpointledger.py
@@ -7,8 +7,8 @@
 from magnolialug.ids import EndpointId
 from magnolialug.policy.admissionqueue import AdmissionQueue, Queued
 from magnolialug.policy.partcache import PartCache
+from magnolialug.policy.prefillwait import PRIORITY_LEVELS, prefill_wait_s
 from magnolialug.policy.prompt import Part
-from magnolialug.policy.readingtime import PRIORITIES, reading_s
 from magnolialug.policy.sharedload import (
     EndpointState,
     Placement,
@@ -97,7 +97,7 @@
 
     def placed(self, placement: Placement) -> None:
         """Counts the parts of a prompt as held from now on."""
-        self.parts.keep(placement.salt, placement.parts)
+        self.parts.touch(placement.salt, placement.parts)
 
     def forget_old(self, now: float) -> None:
         """Drops what entries have told that have not been heard for long."""
@@ -192,7 +192,7 @@
         if not state.held:
             return True
         priority = row.waiting.priority
-        ahead_s = reading_s(state.reading, state.running, priority, rate)
+        ahead_s = prefill_wait_s(state.reading, state.running, priority, rate)
         if ahead_s > row.ahead_s:
             return False
         headroom = _LATE_HEADROOM if row.waiting.is_late(now) else HEADROOM
@@ -206,5 +206,5 @@
 
 
 def _reading_of(row: Queued) -> tuple[int, ...]:
-    place = min(row.waiting.priority, PRIORITIES - 1)
+    place = min(row.waiting.priority, PRIORITY_LEVELS - 1)
     return (0,) * place + (row.unread,)
--- a/magnolialug/policy/engineload.py
+++ b/magnolialug/policy/engineload.py
@@ -4,8 +4,8 @@
 
 from magnolialug.ids import EndpointId
 from magnolialug.policy.partcache import PartCache
+from magnolialug.policy.prefillwait import PRIORITY_LEVELS, prefill_wait_s
 from magnolialug.policy.prompt import Prompt
-from magnolialug.policy.readingtime import PRIORITIES, reading_s
 from magnolialug.policy.sharedload import EndpointState, WorkShare, summed
 
 __all__ = ["EngineLoad", "Placed"]
@@ -95,7 +95,7 @@
         running = len(self._running)
         if self._others is not None:
             running += self._others.running
-        return reading_s(reading, running, priority, self.rate)
+        return prefill_wait_s(reading, running, priority, self.rate)
 
     def room(self, tokens: int) -> float:
         """Returns the free share of memory after a request of that size."""
@@ -143,10 +143,12 @@
 
     def _reading(self) -> tuple[int, ...]:
         """Returns own prompt tokens to be read, by priority."""
-        reading = [0] * PRIORITIES
+        reading = [0] * PRIORITY_LEVELS
         for placed in self._running.values():
             if placed.reading:
-                reading[min(placed.priority, PRIORITIES - 1)] += placed.unread
+                reading[min(placed.priority, PRIORITY_LEVELS - 1)] += (
+                    placed.unread
+                )
         while reading and not reading[-1]:
             reading.pop()
         return tuple(reading)
@@ -169,7 +171,7 @@
             ahead_s=self.ahead_s(priority),
         )
         self._all_reading = None
-        self._parts.keep(salt, prompt.shared)
+        self._parts.touch(salt, prompt.shared)
 
     def first_event(self, name: str, now: float) -> None:
         """Learns from the time that the first event took."""
--- a/magnolialug/policy/gate.py
+++ b/magnolialug/policy/gate.py
@@ -1,7 +1,8 @@
-"""The last gate before an endpoint: what ran, what never will.
+"""A sidecar's gate before its endpoint: runs each attempt at most once.
 
-Only the gate may say that an attempt did not run, and it says so only
-before hand-over, and remembers it. It is pure: callers pass the time.
+Only the gate may report that an attempt did not run. It does so only before
+the hand-over to the endpoint, and records it. It reads no clock: callers pass
+the time.
 """
 
 import enum
@@ -13,14 +14,20 @@
 from magnolialug.ids import Incarnation
 from magnolialug.result import Code, Failure, failed
 
-__all__ = ["DISPATCH_REACH_S", "KEEP_S", "Gate", "Record", "Term"]
+__all__ = [
+    "MAX_DISPATCH_AGE_S",
+    "RECORD_RETENTION_S",
+    "Gate",
+    "Record",
+    "DispatchDecision",
+]
 
-DISPATCH_REACH_S = 120.0
-KEEP_S = 900.0
+MAX_DISPATCH_AGE_S = 120.0
+RECORD_RETENTION_S = 900.0
 
 
-class Term(enum.Enum):
-    """What to do with a dispatch."""
+class DispatchDecision(enum.Enum):
+    """What to do with a dispatch of an attempt."""
 
     ADMIT = "admit"
     ATTACH = "attach"
@@ -28,12 +35,12 @@
 
 
 class Record(msgspec.Struct):
-    """What the gate remembers of one attempt.
+    """The gate's record of one attempt.
 
     Attributes:
-      state: where the attempt stands.
-      since: when it got there, on the sidecar's clock in seconds.
-      failure: why it was refused or failed.
+      state: the current state of the attempt.
+      since: when it entered this state, on the sidecar's clock in seconds.
+      failure: why it was refused or failed, None otherwise.
     """
 
     attempt: Attempt
@@ -43,16 +50,18 @@
 
 
 class Gate:
-    """At most one run for each attempt, and an honest word on every other.
-
-    What goes wrong: an entry is paused between its claim and its dispatch;
-    meanwhile a duplicate asks for the attempt, hears that it was never seen,
-    and runs the request elsewhere; then the first entry wakes and its old
-    dispatch arrives. One would notice two runs. So an attempt that is asked
-    for before it was seen is sealed, and a sealed attempt is never run.
-    Seals need not be kept for ever: a dispatch whose attempt was born longer
-    ago than DISPATCH_REACH_S, on this sidecar's own clock, is refused even
-    if no seal is remembered, and records live KEEP_S, which is longer.
+    """Runs each attempt at most once and reports the state of attempts.
+
+    This prevents the following fault: an entry is paused between its claim
+    and its dispatch. Meanwhile a duplicate queries the attempt, gets the
+    reply that it is unknown, and runs the request elsewhere. Then the first
+    entry resumes, its old dispatch arrives, and the request runs twice. So an
+    attempt that is queried before it was dispatched is sealed, and a sealed
+    attempt is never run.
+
+    Seals may expire: a dispatch whose attempt was created longer ago than
+    MAX_DISPATCH_AGE_S, on this sidecar's own clock, is refused even without a
+    seal, and records are retained for RECORD_RETENTION_S, which is longer.
     """
 
     def __init__(self, incarnation: Incarnation):
@@ -65,50 +74,53 @@
         return len(self._records)
 
     def find(self, attempt: Attempt) -> Record | None:
-        """Returns the record of the very attempt of this incarnation."""
+        """Returns an attempt's record, None if it has none here.
+
+        Attempts of other incarnations have none.
+        """
         if attempt.incarnation != self.incarnation:
             return None
         return self._records.get(attempt.key)
 
     def dispatch(
         self, attempt: Attempt, now: float
-    ) -> tuple[Term, Failure | None]:
+    ) -> tuple[DispatchDecision, Failure | None]:
         """Decides on a dispatch.
 
         Returns:
           ADMIT for a new attempt, which is then queued; ATTACH for a
-          duplicate of one that is known and not refused; REFUSE with the
-          failure for one that did not run and never will.
+          duplicate of a known attempt that was not refused; REFUSE with the
+          failure for an attempt that did not run and never will.
         """
         if attempt.incarnation != self.incarnation:
-            return Term.REFUSE, failed(Code.STALE_INCARNATION)
+            return DispatchDecision.REFUSE, failed(Code.STALE_INCARNATION)
         record = self._records.get(attempt.key)
         if record and record.state is AttemptState.SEALED:
-            return Term.REFUSE, record.failure
+            return DispatchDecision.REFUSE, record.failure
         if record:
-            return Term.ATTACH, None
-        refusal = self._refusal(attempt, now)
+            return DispatchDecision.ATTACH, None
+        refusal = self._dispatch_refusal(attempt, now)
         if refusal:
-            self._put(attempt, AttemptState.SEALED, now, refusal)
-            return Term.REFUSE, refusal
-        self._put(attempt, AttemptState.QUEUED, now)
-        return Term.ADMIT, None
+            self._add_record(attempt, AttemptState.SEALED, now, refusal)
+            return DispatchDecision.REFUSE, refusal
+        self._add_record(attempt, AttemptState.QUEUED, now)
+        return DispatchDecision.ADMIT, None
 
     def hand_over(self, attempt: Attempt, now: float) -> bool:
-        """Marks the attempt as run; false if it may not be run."""
+        """Marks an attempt as running; false if it may not run."""
         record = self.find(attempt)
         if record is None or record.state is not AttemptState.QUEUED:
             return False
-        self._move(record, AttemptState.RUNNING, now)
+        self._set_state(record, AttemptState.RUNNING, now)
         return True
 
     def refuse(self, attempt: Attempt, failure: Failure, now: float) -> bool:
-        """Seals a queued attempt; false if it was already handed over."""
+        """Seals a queued attempt; false if it is not queued."""
         record = self.find(attempt)
         if record is None or record.state is not AttemptState.QUEUED:
             return False
         record.failure = failure
-        self._move(record, AttemptState.SEALED, now)
+        self._set_state(record, AttemptState.SEALED, now)
         return True
 
     def end(
@@ -120,13 +132,17 @@
             return
         record.failure = failure
         done = AttemptState.FAILED if failure else AttemptState.DONE
-        self._move(record, done, now)
+        self._set_state(record, done, now)
 
-    def ask(self, attempt: Attempt, seal: bool, now: float) -> AttemptState:
-        """Returns what became of an attempt, sealing it if never seen.
+    def query(self, attempt: Attempt, seal: bool, now: float) -> AttemptState:
+        """Returns the state of an attempt; seals it if it is unknown.
 
-        An attempt of another incarnation, or one no younger than a record
-        that was dropped, is FORGOTTEN: it may have run.
+        The state is FORGOTTEN for an attempt of another incarnation, and for
+        an unknown one that is not sealed or is no younger than an attempt
+        whose record was dropped: it may have run.
+
+        Args:
+          seal: whether to seal an unknown attempt.
         """
         if attempt.incarnation != self.incarnation:
             return AttemptState.FORGOTTEN
@@ -135,36 +151,36 @@
             return record.state
         if not seal or attempt.born <= self._dropped_born:
             return AttemptState.FORGOTTEN
-        self._put(attempt, AttemptState.SEALED, now, failed(Code.SEALED))
+        self._add_record(attempt, AttemptState.SEALED, now, failed(Code.SEALED))
         return AttemptState.SEALED
 
     def forget(self, now: float) -> list[Attempt]:
-        """Drops records that are over and older than KEEP_S."""
-        over = []
+        """Drops records of ended attempts after RECORD_RETENTION_S."""
+        expired = []
         for key, record in self._records.items():
-            if now - record.since < KEEP_S:
+            if now - record.since < RECORD_RETENTION_S:
                 break
             if record.state in (AttemptState.QUEUED, AttemptState.RUNNING):
                 continue
-            over.append(key)
-        gone = [self._records.pop(key).attempt for key in over]
-        for attempt in gone:
+            expired.append(key)
+        dropped = [self._records.pop(key).attempt for key in expired]
+        for attempt in dropped:
             self._dropped_born = max(self._dropped_born, attempt.born)
-        return gone
+        return dropped
 
     def unfinished(self) -> list[Record]:
         """Returns the attempts that are queued or running."""
         live = (AttemptState.QUEUED, AttemptState.RUNNING)
         return [r for r in self._records.values() if r.state in live]
 
-    def _refusal(self, attempt: Attempt, now: float) -> Failure | None:
+    def _dispatch_refusal(self, attempt: Attempt, now: float) -> Failure | None:
         if self.draining:
             return failed(Code.DRAINING)
-        if now - attempt.born >= DISPATCH_REACH_S:
+        if now - attempt.born >= MAX_DISPATCH_AGE_S:
             return failed(Code.STALE_DISPATCH)
         return None
 
-    def _put(
+    def _add_record(
         self,
         attempt: Attempt,
         state: AttemptState,
@@ -173,7 +189,9 @@
     ) -> None:
         self._records[attempt.key] = Record(attempt, state, now, failure)
 
-    def _move(self, record: Record, state: AttemptState, now: float) -> None:
+    def _set_state(
+        self, record: Record, state: AttemptState, now: float
+    ) -> None:
         record.state = state
         record.since = now
         self._records.move_to_end(record.attempt.key)
--- a/magnolialug/policy/partcache.py
+++ b/magnolialug/policy/partcache.py
@@ -1,4 +1,4 @@
-"""Which shared parts of prompts an engine is believed to hold."""
+"""Estimates which shared prompt parts an engine has cached."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -9,39 +9,39 @@
 
 
 class PartCache:
-    """Parts in the order of their last use, as many as a memory holds.
+    """An LRU model of the parts in an engine's cache.
 
     Args:
-      memory: tokens that the engine can hold.
+      capacity_tokens: tokens that the engine can hold.
     """
 
-    def __init__(self, memory: int):
-        self._memory = memory
+    def __init__(self, capacity_tokens: int):
+        self._capacity_tokens = capacity_tokens
         self._parts: OrderedDict[tuple[str, str], int] = OrderedDict()
         self._tokens = 0
 
-    def has(self, salt: str, part: Part) -> bool:
-        """Whether a part is believed to be there."""
-        return (salt, part.name) in self._parts
+    def has(self, cache_namespace: str, part: Part) -> bool:
+        """Whether a part is expected to be cached."""
+        return (cache_namespace, part.name) in self._parts
 
-    def leading(self, salt: str, parts: Iterable[Part]) -> int:
-        """Returns how many of a prompt's first parts are believed there."""
+    def leading(self, cache_namespace: str, parts: Iterable[Part]) -> int:
+        """Returns how many leading parts of a prompt are expected in cache."""
         found = 0
         for part in parts:
-            if not self.has(salt, part):
+            if not self.has(cache_namespace, part):
                 break
             found += 1
         return found
 
-    def keep(self, salt: str, parts: Iterable[Part]) -> None:
-        """Counts parts as used now; what they push out is forgotten."""
+    def touch(self, cache_namespace: str, parts: Iterable[Part]) -> None:
+        """Marks parts as just used; evicts the least recently used ones."""
         for part in parts:
-            key = (salt, part.name)
+            key = (cache_namespace, part.name)
             if key in self._parts:
                 self._parts.move_to_end(key)
                 continue
             self._parts[key] = part.tokens
             self._tokens += part.tokens
-        while self._tokens > self._memory and self._parts:
+        while self._tokens > self._capacity_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
--- a/magnolialug/policy/partplan.py
+++ b/magnolialug/policy/partplan.py
@@ -1,4 +1,4 @@
-"""What to do with each shared part of a prompt."""
+"""Decides whether to fetch or to save each shared part of a prompt."""
 
 import enum
 from collections.abc import Mapping
@@ -8,39 +8,40 @@
 from magnolialug.ids import EndpointId, ServiceName
 from magnolialug.policy.storeindex import PartKey, PartStatus
 
-__all__ = ["Miss", "PartPlan", "Stored", "plan_of"]
+__all__ = ["MissReason", "PartPlan", "PartReport", "plan_part"]
 
 
-class Miss(enum.Enum):
+class MissReason(enum.Enum):
     """Why a part is not read from a store.
 
-    UNHEARD: a store holds it whose last word is too old, or its owner says
-      nothing.
-    SAVING: it is being saved, which is not done yet.
-    REPLACED: it is of weights that are being replaced, and was not whole.
-    NO_ROOM: no store has it, and none has room.
-    CLOSED: no store has it, and none may be written to just now.
-    NEW: no store is known to have it; it is saved now.
+    NO_CONTACT: the store's last reply is too old, or its owner sent no
+      report.
+    SAVING: an engine is still saving it.
+    REPLACED: it belongs to weights that are being replaced, and no store
+      holds it completely.
+    NO_ROOM: no store holds it, and none has room.
+    NOT_WRITABLE: no store holds it, and none accepts writes at present.
+    NEW: no store is known to hold it; the request saves it.
     """
 
-    UNHEARD = "unheard"
+    NO_CONTACT = "unheard"
     SAVING = "saving"
     REPLACED = "replaced"
     NO_ROOM = "no room"
-    CLOSED = "closed"
+    NOT_WRITABLE = "closed"
     NEW = "new"
 
 
-class Stored(msgspec.Struct, frozen=True):
-    """What the owner of a store has told of a part.
+class PartReport(msgspec.Struct, frozen=True):
+    """What the owner of a store reports about a part.
 
     Attributes:
-      until_ms: a fetch must have ended by then, on the servers' clock.
-      reader: the engine that reads it and will save it, "" for none.
+      until_ms: deadline for the end of a fetch, on the servers' clock.
+      reader: the engine that prefills it and will save it, "" for none.
     """
 
     store: ServiceName
-    word: PartStatus
+    status: PartStatus
     until_ms: int = 0
     reader: EndpointId = EndpointId("")
 
@@ -49,42 +50,42 @@
     """What to do with one part of a prompt.
 
     Attributes:
-      fetch: the store that holds it, None if none does.
-      save: the store that is to keep it, None for none.
+      fetch: the store to fetch it from, None if none holds it.
+      save: the store to save it to, None for none.
       miss: why it is not fetched, None if it is.
-      until_ms: when a fetch is to be thrown away.
+      until_ms: when a fetch that has not ended is discarded.
     """
 
     fetch: ServiceName | None = None
     save: ServiceName | None = None
-    miss: Miss | None = None
+    miss: MissReason | None = None
     until_ms: int = 0
 
 
 _MISSES = {
-    PartStatus.UNHEARD: Miss.UNHEARD,
-    PartStatus.SAVING: Miss.SAVING,
-    PartStatus.FULL: Miss.NO_ROOM,
-    PartStatus.CLOSED: Miss.CLOSED,
+    PartStatus.NO_CONTACT: MissReason.NO_CONTACT,
+    PartStatus.SAVING: MissReason.SAVING,
+    PartStatus.FULL: MissReason.NO_ROOM,
+    PartStatus.NOT_WRITABLE: MissReason.NOT_WRITABLE,
 }
 
 
-def plan_of(
-    key: PartKey, stored: Mapping[PartKey, Stored], may_save: bool
+def plan_part(
+    key: PartKey, stored: Mapping[PartKey, PartReport], may_save: bool
 ) -> PartPlan:
     """Returns what to do with a part.
 
     Args:
-      stored: what the owners of stores have told.
-      may_save: whether parts of these weights are still saved.
+      stored: the reports of the owners of stores.
+      may_save: whether new parts may be saved for these weights.
     """
-    told = stored.get(key)
-    if told is None:
-        return PartPlan(miss=Miss.UNHEARD)
-    if told.word is PartStatus.HELD:
-        return PartPlan(fetch=told.store, until_ms=told.until_ms)
-    if told.word is not PartStatus.ROOM:
-        return PartPlan(miss=_MISSES[told.word])
+    reported = stored.get(key)
+    if reported is None:
+        return PartPlan(miss=MissReason.NO_CONTACT)
+    if reported.status is PartStatus.HELD:
+        return PartPlan(fetch=reported.store, until_ms=reported.until_ms)
+    if reported.status is not PartStatus.ROOM:
+        return PartPlan(miss=_MISSES[reported.status])
     if not may_save:
-        return PartPlan(miss=Miss.REPLACED)
-    return PartPlan(save=told.store, miss=Miss.NEW)
+        return PartPlan(miss=MissReason.REPLACED)
+    return PartPlan(save=reported.store, miss=MissReason.NEW)
--- a/magnolialug/policy/placement.py
+++ b/magnolialug/policy/placement.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from magnolialug.ids import EndpointId, ZoneId
-from magnolialug.policy.belief import Beliefs, StoreBelief
+from magnolialug.policy.cacheestimates import CacheEstimates, StoreCacheEstimate
 from magnolialug.policy.load import EndpointView, queue_seconds
 from magnolialug.policy.ring import Ring
 from magnolialug.result import Code, Failure, failed
@@ -111,7 +111,7 @@
 def cost_at(
     view: EndpointView,
     cached: int,
-    stored: StoreBelief | None,
+    stored: StoreCacheEstimate | None,
     job: Job,
     link: LinkView,
     weights: Weights,
@@ -176,7 +176,7 @@
     job: Job,
     ring: Ring,
     view_of: Callable[[EndpointId], EndpointView | None],
-    beliefs: Beliefs,
+    beliefs: CacheEstimates,
     link: LinkView,
     weights: Weights,
     now: float,
@@ -199,7 +199,7 @@
     count = _FIRST_CANDIDATES
     while True:
         names = ring.candidates(job.root, count)
-        for name in names + beliefs.holders(job.root):
+        for name in names + beliefs.cached_endpoints(job.root):
             view = None if name in job.avoid else view_of(name)
             if view is None or name in costs:
                 continue
--- a/magnolialug/policy/stored.py
+++ b/magnolialug/policy/storedblock.py
@@ -1,4 +1,4 @@
-"""What is known of a block in a store."""
+"""Metadata of a cache block in a store."""
 
 import enum
 
@@ -10,23 +10,24 @@
 
 
 class Tier(enum.Enum):
-    """Where in a store a block lies."""
+    """The storage tier of a block in a store."""
 
     MEMORY = "memory"
     DISK = "disk"
 
 
 class BlockMeta(msgspec.Struct, frozen=True):
-    """What a block's writer tells of its worth; kept beside it.
+    """The writer's data on the value of a block, stored with the block.
 
     Attributes:
-      kind: team and kind, by which gaps are learned.
-      root: the prompt it belongs to.
-      weights: the model and weight version whose cache it is.
+      kind: team and kind, by which return intervals are counted.
+      root: the root of the prompt that the block belongs to.
+      weights: the model and weight version that computed the block.
       work_s: time to recompute it, in seconds.
       used_at: wall-clock time of its last use, in seconds.
-      visits: how often its prompt was seen.
-      chance: chance of a return within the planning horizon when written.
+      visits: how often the prompt was requested.
+      chance: the chance of a return within the planning horizon when the
+        block was written.
     """
 
     kind: str = ""
@@ -39,7 +40,7 @@
 
 
 class StoredBlock(msgspec.Struct, frozen=True):
-    """A sealed block; generation tells apart two blocks of one id."""
+    """A complete block; two blocks with the same id differ in generation."""
 
     block: BlockId
     generation: int
--- a/magnolialug/prefixcache/__init__.py
+++ b/magnolialug/prefixcache/__init__.py
@@ -1,1 +1,1 @@
-"""KV cache of shared prompt parts, kept in the platform's stores."""
+"""KV cache of shared prompt parts in the platform's stores."""
--- a/magnolialug/prefixcache/garbagecollector.py
+++ b/magnolialug/prefixcache/garbagecollector.py
@@ -1,4 +1,4 @@
-"""Frees parts of weights that no engine has any more."""
+"""Frees cached parts of weights that no engine serves any more."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -8,34 +8,35 @@
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import ServiceName
 from magnolialug.platform.cachecalls import CacheCalls, CacheChange
+from magnolialug.policy.cachenamespace import model_and_version
 from magnolialug.policy.oldweights import EngineWeights, OldWeights
-from magnolialug.policy.salt import version_of
 from magnolialug.policy.storeindex import PartKey, StoreIndex
 from magnolialug.prefixcache.storepollers import StorePollers
 from magnolialug.result import Failure
 
 __all__ = ["GarbageCollector"]
 
-# A look at what the engines have costs some microseconds for each.
-_LOOK_S = 0.5
-# A store is asked again this much later, after a failure and for what was
-# saved while it was asked before.
-_AGAIN_S = 3.0
-# Some forty bytes each; a store that has been filled holds a thousand.
-_AT_ONCE = 300
-# A call that takes longer to arrive frees nothing.
-_VALID_S = 0.6
+# A scan of the engines' weights costs some microseconds per engine.
+_SCAN_INTERVAL_S = 0.5
+# Time between two cleanups of a store, which repeat after a failure and for
+# parts that were saved during the previous cleanup.
+_CLEAN_INTERVAL_S = 3.0
+# Parts per call, at some forty bytes each; a full store holds a thousand.
+_BATCH_PARTS = 300
+# A call that takes longer than this to arrive frees nothing.
+_CALL_VALID_S = 0.6
 
 
 class GarbageCollector:
-    """Keeps the stores that this entry indexes free of replaced parts.
+    """Frees parts of replaced weights in the stores that this entry indexes.
 
-    Two entries do so for each store. That needs no lease: a part that is
-    freed twice is freed once, and neither frees what any engine can fetch.
+    Two entries do so for each store. They need no lease: freeing a part twice
+    has no further effect, and neither frees a part that an engine can still
+    fetch.
 
     Args:
       stores: the stores of the configuration.
-      engines: returns the weights of all listed engines.
+      engines: returns the weights of all registered engines.
     """
 
     def __init__(
@@ -49,45 +50,50 @@
         self._calls = calls
         self._clock = clock
         self._engines = engines
-        self._old = OldWeights()
-        self._look_at = 0.0
-        self._ask_at: dict[ServiceName, float] = {}
+        self._old_weights = OldWeights()
+        self._next_scan_at = 0.0
+        self._next_clean_at: dict[ServiceName, float] = {}
 
     def tick(self, now: float) -> None:
-        """Looks whether some store holds what can be freed."""
-        if now < self._look_at:
+        """Starts the cleanup of stores that hold parts to be freed."""
+        if now < self._next_scan_at:
             return
-        self._look_at = now + _LOOK_S
-        self._old.seen(self._engines(), now)
-        for name, poll in self._stores.kept():
-            if not poll.index.trusted(now) or now < self._ask_at.get(name, 0.0):
+        self._next_scan_at = now + _SCAN_INTERVAL_S
+        self._old_weights.seen(self._engines(), now)
+        for name, poller in self._stores.indexed():
+            if not poller.index.is_fresh(now) or now < self._next_clean_at.get(
+                name, 0.0
+            ):
                 continue
-            if any(self._is_old(salt, now) for salt, _ in poll.index.parts):
-                self._ask_at[name] = now + _AGAIN_S
-                ensureDeferred(self._clean(name, poll.address, poll.index))
+            if any(
+                self._is_unused(cache_namespace, now)
+                for cache_namespace, _ in poller.index.parts
+            ):
+                self._next_clean_at[name] = now + _CLEAN_INTERVAL_S
+                ensureDeferred(self._clean(name, poller.address, poller.index))
 
-    def _is_old(self, salt: str, now: float) -> bool:
-        model, version = version_of(salt)
-        return 0 < version < self._old.unused_below(model, now)
+    def _is_unused(self, cache_namespace: str, now: float) -> bool:
+        model, version = model_and_version(cache_namespace)
+        return 0 < version < self._old_weights.unused_below(model, now)
 
     async def _clean(
         self, name: ServiceName, address: Address, index: StoreIndex
     ) -> None:
-        """Lists a store and frees what is old, finished or not."""
+        """Lists a store and frees unused parts, complete or unfinished."""
         listed = await self._calls.list(address)
         if isinstance(listed, Failure):
             emit(Event.FREE_FAILED, store=name, **explain(listed))
             return
-        if not index.is_start(listed.epoch, listed.born_ms):
+        if not index.is_same_start(listed.epoch, listed.born_ms):
             return
         now = self._clock()
         rows = [
             row
             for row in (*listed.parts, *listed.unfinished)
-            if self._is_old(row.salt, now)
+            if self._is_unused(row.salt, now)
         ]
         while rows:
-            batch, rows = rows[:_AT_ONCE], rows[_AT_ONCE:]
+            batch, rows = rows[:_BATCH_PARTS], rows[_BATCH_PARTS:]
             if not await self._free(name, address, index, batch):
                 return
 
@@ -99,7 +105,7 @@
         batch: Sequence[CacheChange],
     ) -> bool:
         keys: list[PartKey] = [(row.salt, row.part) for row in batch]
-        until_s = self._clock() + _VALID_S + index.clock_s
+        until_s = self._clock() + _CALL_VALID_S + index.clock_offset_s
         failure = await self._calls.free(
             address, index.epoch, int(until_s * 1000), keys
         )
@@ -107,7 +113,7 @@
             emit(Event.FREE_FAILED, store=name, **explain(failure))
             return False
         for key in keys:
-            index.removed(key)
+            index.remove_part(key)
         emit(
             Event.PARTS_FREED,
             store=name,
--- a/magnolialug/prefixcache/indexservice.py
+++ b/magnolialug/prefixcache/indexservice.py
@@ -19,8 +19,8 @@
     """Answers part lookups and tracks in-flight saves.
 
     Args:
-      index: returns a store's index, None for one that is not configured;
-        the index is kept for a while from then on.
+      index: returns a store's index, None if the store is not configured.
+        A call extends the time for which this entry indexes the store.
       clock: returns the time in seconds.
     """
 
@@ -32,38 +32,40 @@
         self._index = index
         self._clock = clock
 
-    def ask(self, ask: PartQuery) -> PartReply:
-        """Returns what is to be done with some parts."""
+    def reply(self, query: PartQuery) -> PartReply:
+        """Returns the status of the parts in a query."""
         now = self._clock()
         states = []
-        for asked in ask.parts:
-            index = self._index(asked.store)
+        for queried in query.parts:
+            index = self._index(queried.store)
             if index is None:
                 continue
-            part = asked.part
-            key = (asked.salt, part.name)
-            word = index.status(key, part.tokens, now)
-            held = word is PartStatus.HELD
+            part = queried.part
+            key = (queried.cache_namespace, part.name)
+            status = index.status(key, part.tokens, now)
+            held = status is PartStatus.HELD
             until_ms = index.fetch_until_ms() if held else 0
             states.append(
-                PartState(asked.store, *key, word, until_ms, index.reader(key))
+                PartState(
+                    queried.store, *key, status, until_ms, index.reader(key)
+                )
             )
-        return PartReply(ask.number, tuple(states))
+        return PartReply(query.number, tuple(states))
 
     def save(self, save: SaveNotice) -> None:
-        """Records that parts will be saved."""
+        """Records pending saves of parts."""
         now = self._clock()
-        for asked in save.parts:
-            index = self._index(asked.store)
+        for queried in save.parts:
+            index = self._index(queried.store)
             if index is not None:
-                part = asked.part
-                key = (asked.salt, part.name)
-                index.saving(key, part.tokens, save.reader, now)
+                part = queried.part
+                key = (queried.cache_namespace, part.name)
+                index.add_save(key, part.tokens, save.reader, now)
 
     def cancel_save(self, cancel: SaveCancelled) -> None:
-        """Records that parts will not be saved after all."""
-        for asked in cancel.parts:
-            index = self._index(asked.store)
+        """Drops pending saves of parts."""
+        for queried in cancel.parts:
+            index = self._index(queried.store)
             if index is not None:
-                key = (asked.salt, asked.part.name)
-                index.save_cancelled(key, cancel.reader)
+                key = (queried.cache_namespace, queried.part.name)
+                index.cancel_save(key, cancel.reader)
--- a/magnolialug/prefixcache/messages.py
+++ b/magnolialug/prefixcache/messages.py
@@ -1,7 +1,7 @@
-"""Messages between entries and the owners of stores, a datagram each.
+"""Messages between entries and the owners of stores, one datagram each.
 
-The tags stay as they are: entries of two releases talk to each other during a
-rolling upgrade.
+The tags must not change: during a rolling upgrade, entries of two releases
+exchange these messages.
 """
 
 import msgspec
@@ -21,52 +21,52 @@
 
 
 class QueriedPart(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a prompt, and the store that is asked about it."""
+    """A prompt part and the store that a query or a save is about."""
 
     store: ServiceName
-    salt: str
+    cache_namespace: str
     part: Part
 
 
 class PartQuery(msgspec.Struct, frozen=True, array_like=True, tag="parts?"):
-    """Asks an owner what to do with some parts."""
+    """Queries an owner for the status of parts."""
 
     number: int
     parts: tuple[QueriedPart, ...]
 
 
 class PartState(msgspec.Struct, frozen=True, array_like=True):
-    """What is to be done with one part.
+    """The status of one part.
 
     Attributes:
-      until_ms: a fetch must have ended by then, on the servers' clock.
-      reader: the engine that reads it and will save it, "" for none.
+      until_ms: deadline for the end of a fetch, on the servers' clock.
+      reader: the engine that prefills it and will save it, "" for none.
     """
 
     store: ServiceName
-    salt: str
+    cache_namespace: str
     name: str
-    word: PartStatus
+    status: PartStatus
     until_ms: int = 0
     reader: EndpointId = EndpointId("")
 
 
 class PartReply(msgspec.Struct, frozen=True, array_like=True, tag="parts"):
-    """The answer to an PartQuery."""
+    """The reply to a PartQuery."""
 
     number: int
     states: tuple[PartState, ...]
 
 
 class SaveNotice(msgspec.Struct, frozen=True, array_like=True, tag="save"):
-    """An engine has been sent a request that asks for parts to be saved."""
+    """An engine was sent a request that asks it to save parts."""
 
     reader: EndpointId
     parts: tuple[QueriedPart, ...]
 
 
 class SaveCancelled(msgspec.Struct, frozen=True, array_like=True, tag="unsave"):
-    """The request that asked for parts to be saved did not run."""
+    """The request that asked an engine to save parts did not run."""
 
     reader: EndpointId
     parts: tuple[QueriedPart, ...]
--- a/magnolialug/prefixcache/queryclient.py
+++ b/magnolialug/prefixcache/queryclient.py
@@ -1,4 +1,4 @@
-"""Asks the owners of stores what to do with the parts of a prompt."""
+"""Queries the owners of stores for the status of prompt parts."""
 
 from collections.abc import Callable, Iterable
 from functools import partial
@@ -7,7 +7,7 @@
 from magnolialug.ids import EndpointId, ServiceName
 from magnolialug.owners.ownerring import OwnerRing
 from magnolialug.owners.pendingqueries import PendingQueries
-from magnolialug.policy.partplan import Stored
+from magnolialug.policy.partplan import PartReport
 from magnolialug.policy.prompt import Part
 from magnolialug.policy.storeindex import PartKey, PartStatus
 from magnolialug.policy.storemap import StoreMap
@@ -21,19 +21,24 @@
 
 __all__ = ["PartQueryClient"]
 
-# Stores that are asked about a part, one after the other, while the first
-# choice can neither give nor take it.
-_CHOICES = 3
-# States that leave a part to the next choice.
-_ELSEWHERE = (PartStatus.UNHEARD, PartStatus.FULL, PartStatus.CLOSED)
+# Stores that are queried about a part, one after the other, until one holds the
+# part, is saving it or accepts it.
+_MAX_STORES = 3
+# Statuses after which the next store is queried.
+_TRY_NEXT_STATUSES = (
+    PartStatus.NO_CONTACT,
+    PartStatus.FULL,
+    PartStatus.NOT_WRITABLE,
+)
 
 
 class PartQueryClient:
-    """Finds out where a prompt's shared parts are, or are to be kept.
+    """Finds the stores that hold a prompt's shared parts, or can save them.
 
     Args:
-      owners: tells who indexes a store.
+      owners: gives the entry that indexes a store.
       stores: the stores of the configuration.
+      pending_queries: sends queries and waits for the replies.
       send: sends a message to an entry.
     """
 
@@ -41,95 +46,107 @@
         self,
         owners: OwnerRing,
         stores: StoreMap,
-        questions: PendingQueries,
+        pending_queries: PendingQueries,
         send: Callable[[SaveNotice | SaveCancelled, Address], None],
     ):
         self._owners = owners
         self._stores = stores
-        self._questions = questions
+        self._pending_queries = pending_queries
         self._send = send
 
     async def ask(
-        self, salts: Iterable[str], parts: Iterable[Part]
-    ) -> dict[PartKey, Stored]:
-        """Returns what the owners of stores report of parts."""
-        rows = [(salt, part) for salt in salts for part in parts]
-        orders = {
-            (salt, part.name): self._stores.order((salt, part.name))
-            for salt, part in rows
+        self, cache_namespaces: Iterable[str], parts: Iterable[Part]
+    ) -> dict[PartKey, PartReport]:
+        """Returns what the owners of stores report about parts."""
+        rows = [
+            (cache_namespace, part)
+            for cache_namespace in cache_namespaces
+            for part in parts
+        ]
+        rankings = {
+            (cache_namespace, part.name): self._stores.ranking(
+                (cache_namespace, part.name)
+            )
+            for cache_namespace, part in rows
         }
-        stored: dict[PartKey, Stored] = {}
-        for choice in range(_CHOICES):
-            asked = [
-                QueriedPart(orders[salt, part.name][choice], salt, part)
-                for salt, part in rows
-                if choice < len(orders[salt, part.name])
-                and _is_open(stored.get((salt, part.name)))
+        stored: dict[PartKey, PartReport] = {}
+        for choice in range(_MAX_STORES):
+            queried = [
+                QueriedPart(
+                    rankings[cache_namespace, part.name][choice],
+                    cache_namespace,
+                    part,
+                )
+                for cache_namespace, part in rows
+                if choice < len(rankings[cache_namespace, part.name])
+                and _needs_next_store(stored.get((cache_namespace, part.name)))
             ]
-            if not asked:
+            if not queried:
                 break
-            for told in await self._ask(asked):
-                _take(stored, told)
+            for reported in await self._ask(queried):
+                _merge(stored, reported)
         return stored
 
     def save(
         self,
         reader: EndpointId,
-        salt: str,
+        cache_namespace: str,
         parts: Iterable[tuple[Part, ServiceName]],
     ) -> None:
-        """Tells the owners that an engine was asked to save parts."""
-        self._notify(SaveNotice, reader, salt, parts)
+        """Notifies the owners that an engine was asked to save parts."""
+        self._notify(SaveNotice, reader, cache_namespace, parts)
 
     def cancel_save(
         self,
         reader: EndpointId,
-        salt: str,
+        cache_namespace: str,
         parts: Iterable[tuple[Part, ServiceName]],
     ) -> None:
-        """Tells the owners that an engine will not save parts after all."""
-        self._notify(SaveCancelled, reader, salt, parts)
+        """Notifies the owners that an engine will not save parts after all."""
+        self._notify(SaveCancelled, reader, cache_namespace, parts)
 
     def _notify(
         self,
-        form: type[SaveNotice | SaveCancelled],
+        message_type: type[SaveNotice | SaveCancelled],
         reader: EndpointId,
-        salt: str,
+        cache_namespace: str,
         parts: Iterable[tuple[Part, ServiceName]],
     ) -> None:
-        """Sends one message to each owner of the stores of some parts."""
-        queried = [QueriedPart(store, salt, part) for part, store in parts]
+        """Sends one message to each owner of the parts' stores."""
+        queried = [
+            QueriedPart(store, cache_namespace, part) for part, store in parts
+        ]
         for owner, rows in self._by_owner(queried).items():
-            self._send(form(reader, tuple(rows)), owner)
+            self._send(message_type(reader, tuple(rows)), owner)
 
-    async def _ask(self, asked: list[QueriedPart]) -> list[PartReply]:
-        return await self._questions.ask(
+    async def _ask(self, queried: list[QueriedPart]) -> list[PartReply]:
+        return await self._pending_queries.ask(
             {
                 owner: partial(PartQuery, parts=tuple(rows))
-                for owner, rows in self._by_owner(asked).items()
+                for owner, rows in self._by_owner(queried).items()
             }
         )
 
     def _by_owner(
-        self, asked: Iterable[QueriedPart]
+        self, queried: Iterable[QueriedPart]
     ) -> dict[Address, list[QueriedPart]]:
         by_owner: dict[Address, list[QueriedPart]] = {}
-        for row in asked:
+        for row in queried:
             owner = self._owners.owner(row.store)
             by_owner.setdefault(owner, []).append(row)
         return by_owner
 
 
-def _is_open(told: Stored | None) -> bool:
-    return told is None or told.word in _ELSEWHERE
+def _needs_next_store(reported: PartReport | None) -> bool:
+    return reported is None or reported.status in _TRY_NEXT_STATUSES
 
 
-def _take(stored: dict[PartKey, Stored], told: PartReply) -> None:
-    """Takes an answer; a second choice counts only if it can do more."""
-    for state in told.states:
-        key = (state.salt, state.name)
-        if key in stored and state.word in _ELSEWHERE:
+def _merge(stored: dict[PartKey, PartReport], reported: PartReply) -> None:
+    """Merges a reply; a further store's status counts only if usable."""
+    for state in reported.states:
+        key = (state.cache_namespace, state.name)
+        if key in stored and state.status in _TRY_NEXT_STATUSES:
             continue
-        stored[key] = Stored(
-            state.store, state.word, state.until_ms, state.reader
+        stored[key] = PartReport(
+            state.store, state.status, state.until_ms, state.reader
         )
--- a/magnolialug/prefixcache/storepollers.py
+++ b/magnolialug/prefixcache/storepollers.py
@@ -1,4 +1,4 @@
-"""The stores of the configuration, and a poller for each that is owned."""
+"""Runs a poller for each store that this entry indexes."""
 
 from collections.abc import Callable, Iterator
 from random import Random
@@ -17,12 +17,12 @@
 
 
 class StorePollers:
-    """One task for each store that this entry indexes.
+    """The configured stores, with a polling task for each indexed one.
 
     Args:
-      stores: is told of the stores of each configuration.
-      newest: returns the newest version of a model that is known of.
-      owns: tells whether this entry owns a store.
+      stores: receives the stores of each configuration.
+      newest_version: returns the newest known version of a model.
+      is_owner: returns whether this entry owns a store.
     """
 
     def __init__(
@@ -31,34 +31,34 @@
         calls: CacheCalls,
         clock: IReactorTime,
         random: Random,
-        newest: Callable[[str], int],
-        owns: Callable[[ServiceName], bool],
+        newest_version: Callable[[str], int],
+        is_owner: Callable[[ServiceName], bool],
     ):
-        self.polls: dict[ServiceName, StorePoller] = {}
+        self.pollers: dict[ServiceName, StorePoller] = {}
         self._stores = stores
         self._calls = calls
         self._clock = clock
         self._random = random
-        self._newest = newest
-        self._owns = owns
+        self._newest_version = newest_version
+        self._is_owner = is_owner
         self._tasks: dict[ServiceName, Deferred] = {}
 
     def index(self, name: ServiceName) -> StoreIndex | None:
-        """Returns a store's index for an entry that asks about it."""
-        poll = self.polls.get(name)
-        if poll is None:
+        """Returns a store's index for an entry that queries it."""
+        poller = self.pollers.get(name)
+        if poller is None:
             return None
-        poll.asked()
-        return poll.index
+        poller.record_query()
+        return poller.index
 
-    def kept(self) -> Iterator[tuple[ServiceName, StorePoller]]:
+    def indexed(self) -> Iterator[tuple[ServiceName, StorePoller]]:
         """Yields the stores that this entry indexes."""
-        for name, poll in self.polls.items():
-            if poll.kept:
-                yield name, poll
+        for name, poller in self.pollers.items():
+            if poller.indexed:
+                yield name, poller
 
     def configure(self, routing: Routing) -> None:
-        """Takes the stores of a configuration."""
+        """Replaces the stores with those of a configuration."""
         stores = {
             name: service.store
             for name, service in routing.services.items()
@@ -78,32 +78,32 @@
                 for name, store in stores.items()
             }
         )
-        for gone in set(self.polls) - set(stores):
-            self._drop(gone)
+        for removed in set(self.pollers) - set(stores):
+            self._drop(removed)
         for name, store in stores.items():
-            poll = self.polls.get(name)
-            if poll is not None and poll.address != store.address:
+            poller = self.pollers.get(name)
+            if poller is not None and poller.address != store.address:
                 self._drop(name)
-            if name not in self.polls:
-                self.polls[name] = self._poll(name, store)
+            if name not in self.pollers:
+                self.pollers[name] = self._new_poller(name, store)
 
     def tick(self, now: float) -> None:
-        """Polls the stores that this entry indexes, and no others."""
-        for name, poll in self.polls.items():
-            if not poll.kept:
-                self._rest(name)
+        """Starts and stops polling as this entry's indexed stores change."""
+        for name, poller in self.pollers.items():
+            if not poller.indexed:
+                self._stop_polling(name)
             elif name not in self._tasks:
-                task = ensureDeferred(poll.run())
+                task = ensureDeferred(poller.run())
                 task.addErrback(lambda reason: reason.trap(CancelledError))
                 self._tasks[name] = task
-            poll.index.tick(now)
+            poller.index.tick(now)
 
     def stop(self) -> None:
-        """Ends all tasks."""
-        for name in list(self.polls):
+        """Stops all polling."""
+        for name in list(self.pollers):
             self._drop(name)
 
-    def _poll(self, name: ServiceName, store: CacheStore) -> StorePoller:
+    def _new_poller(self, name: ServiceName, store: CacheStore) -> StorePoller:
         return StorePoller(
             name,
             store.address,
@@ -111,18 +111,18 @@
             self._calls,
             self._clock,
             self._random,
-            self._newest,
-            lambda: self._owns(name),
+            self._newest_version,
+            lambda: self._is_owner(name),
         )
 
-    def _rest(self, name: ServiceName) -> None:
+    def _stop_polling(self, name: ServiceName) -> None:
         task = self._tasks.pop(name, None)
         if task is not None:
             task.cancel()
 
     def _drop(self, name: ServiceName) -> None:
-        self._rest(name)
-        del self.polls[name]
+        self._stop_polling(name)
+        del self.pollers[name]
 
 
 def _traits(store: CacheStore, token_bytes: int) -> StoreTraits:
@@ -131,6 +131,6 @@
         address=f"{store.address[0]}:{store.address[1]}",
         zone=store.zone,
         capacity=store.capacity_tokens,
-        token_s=token_bytes / bytes_per_s if bytes_per_s else 0.0,
-        first_s=store.first_s,
+        per_token_s=token_bytes / bytes_per_s if bytes_per_s else 0.0,
+        latency_s=store.first_s,
     )
--- a/magnolialug/prefixcache/wiring.py
+++ b/magnolialug/prefixcache/wiring.py
@@ -1,4 +1,4 @@
-"""Wires store indexes, garbage collection and queries to other entries."""
+"""Connects store indexes, garbage collection and queries to other entries."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -23,63 +23,69 @@
 
 __all__ = ["PrefixCache"]
 
-# Entries that index a store: its owner and a stand-in.
-_OWNERS = 2
+# Entries that index a store: its owner and a backup.
+_OWNERS_PER_STORE = 2
 
 
 class PrefixCache:
-    """Indexes some stores, and queries other entries about the rest.
+    """Indexes some stores and queries other entries about the rest.
 
     Attributes:
-      map: the stores of the configuration in force.
+      store_map: the stores of the current configuration.
+      store_pollers: the pollers of the stores that this entry indexes.
+      queries: queries the owners of stores.
+      collector: frees parts of replaced weights.
 
     Args:
-      newest: returns the newest version of a model that is known of.
-      engines: returns the weights of all listed engines.
+      newest_version: returns the newest known version of a model.
+      engines: returns the weights of all registered engines.
     """
 
     def __init__(
         self,
         owners: Ownership,
         calls: CacheCalls,
-        newest: Callable[[str], int],
+        newest_version: Callable[[str], int],
         engines: Callable[[], Iterable[EngineWeights]],
-        talk: Talk,
+        messenger: Talk,
         clock: IReactorTime,
         random: Random,
     ):
-        self.map = StoreMap()
-        self.watch = StorePollers(
-            self.map,
+        self.store_map = StoreMap()
+        self.store_pollers = StorePollers(
+            self.store_map,
             calls,
             clock,
             random,
-            newest,
-            lambda store: owners.ring.rank(store) < _OWNERS,
+            newest_version,
+            lambda store: owners.ring.rank(store) < _OWNERS_PER_STORE,
         )
         self.queries = PartQueryClient(
-            owners.ring, self.map, owners.pending_queries, talk.send
+            owners.ring, self.store_map, owners.pending_queries, messenger.send
         )
         self.collector = GarbageCollector(
-            self.watch, calls, clock.seconds, engines
+            self.store_pollers, calls, clock.seconds, engines
         )
-        service = StoreIndexService(self.watch.index, clock.seconds)
-        talk.takes(
-            PartQuery, lambda ask, owner: talk.send(service.ask(ask), owner)
+        service = StoreIndexService(self.store_pollers.index, clock.seconds)
+        messenger.takes(
+            PartQuery,
+            lambda query, owner: messenger.send(service.reply(query), owner),
         )
-        talk.takes(SaveNotice, lambda save, _: service.save(save))
-        talk.takes(SaveCancelled, lambda cancel, _: service.cancel_save(cancel))
-        talk.takes(PartReply, owners.pending_queries.answered)
+        messenger.takes(SaveNotice, lambda save, _: service.save(save))
+        messenger.takes(
+            SaveCancelled, lambda cancel, _: service.cancel_save(cancel)
+        )
+        messenger.takes(PartReply, owners.pending_queries.answered)
 
     def configure(self, routing: Routing) -> None:
-        """Takes the stores of a configuration."""
-        self.watch.configure(routing)
+        """Replaces the stores with those of a configuration."""
+        self.store_pollers.configure(routing)
 
     def tick(self, now: float) -> None:
-        """Follows the stores that are this entry's, and frees old parts."""
-        self.watch.tick(now)
+        """Updates which stores are polled, and frees unused parts."""
+        self.store_pollers.tick(now)
         self.collector.tick(now)
 
     def stop(self) -> None:
-        """Follows no store any more."""
-        self.watch.stop()
+        """Stops polling all stores."""
+        self.store_pollers.stop()
--- a/magnolialug/quarantine/__init__.py
+++ b/magnolialug/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Poison requests, which crash endpoints, and their quarantine."""
+"""Quarantine of poison requests, which crash endpoints."""
--- a/magnolialug/quarantine/messages.py
+++ b/magnolialug/quarantine/messages.py
@@ -1,24 +1,24 @@
 """Messages between entries about requests that crash endpoints.
 
-Each is one datagram. Several entries keep a request's crash count, so that a
-lost datagram or a restarted entry does not lose it.
+Each is one datagram. Several entries hold a request's crash count, so that it
+survives the loss of a datagram and the restart of an entry.
 
-The tags stay as they are: entries of two releases talk to each other during a
-rolling upgrade.
+The tags must not change: during a rolling upgrade, entries of two releases
+exchange these messages.
 """
 
 import msgspec
 
 from magnolialug.ids import EndpointId, RequestDigest
 
-__all__ = ["CrashReport", "Loss", "Quarantined", "Survived"]
+__all__ = ["CrashReport", "LostRequest", "Quarantined", "RequestCompleted"]
 
 
-class Loss(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was under way at an endpoint when it crashed.
+class LostRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A request that was in progress at an endpoint when it crashed.
 
     Attributes:
-      answered: whether part of the answer had come.
+      answered: whether part of the answer had arrived.
     """
 
     digest: RequestDigest
@@ -26,26 +26,28 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True, tag="blamed"):
-    """An endpoint has crashed with these requests of the sender's."""
+    """An endpoint has crashed while serving these requests of the sender."""
 
     endpoint: EndpointId
-    losses: tuple[Loss, ...]
+    losses: tuple[LostRequest, ...]
 
 
-class Survived(msgspec.Struct, frozen=True, array_like=True, tag="survived"):
-    """An endpoint has answered a request that was reported before."""
+class RequestCompleted(
+    msgspec.Struct, frozen=True, array_like=True, tag="survived"
+):
+    """An endpoint has answered a request that a crash report named before."""
 
     digest: RequestDigest
 
 
 class Quarantined(msgspec.Struct, frozen=True, array_like=True, tag="bar"):
-    """A request goes to no endpoint.
+    """A request is quarantined: it must not be sent to any endpoint.
 
     Attributes:
-      ended: the endpoints that have crashed under it.
-      for_ms: how long, 0 for always.
+      crashed_endpoints: the endpoints that crashed while serving it.
+      for_ms: duration of the quarantine, 0 for a permanent one.
     """
 
     digest: RequestDigest
-    ended: tuple[EndpointId, ...]
+    crashed_endpoints: tuple[EndpointId, ...]
     for_ms: int = 0
--- a/magnolialug/quarantine/quarantinelist.py
+++ b/magnolialug/quarantine/quarantinelist.py
@@ -1,4 +1,4 @@
-"""The quarantined requests, as announced by entries and as written."""
+"""The list of quarantined requests, stored in the key-value service."""
 
 from collections.abc import Callable, Sequence
 
@@ -15,15 +15,15 @@
 
 __all__ = ["QUARANTINE_KEYS", "QuarantineList", "QuarantineValue"]
 
-# Kept from an earlier release, so that entries of both read the same keys
-# during a rolling upgrade.
+# The name from an earlier release, so that entries of both releases read the
+# same keys during a rolling upgrade.
 QUARANTINE_KEYS = "magnolialug/bars/"
-# Running entries know of the request already; the write is for those that
-# start later, so that it can wait.
+# Running entries already have the request in their lists. The write is for
+# entries that start later, so it is not urgent.
 _WRITE_RETRY_S = 1.0
-# Beyond it the oldest are released. A request that still comes is quarantined
-# again after three crashes.
-_MOST_QUARANTINED = 1000
+# Above this number the oldest are released. A released request that still
+# arrives is quarantined again after three crashes.
+_MAX_QUARANTINED = 1000
 
 
 class QuarantineValue(msgspec.Struct, frozen=True):
@@ -33,9 +33,9 @@
 
 
 class _Row(msgspec.Struct):
-    """A quarantined request; revision 0 while it is not known to be written."""
+    """A quarantined request; revision is 0 until it is known to be written."""
 
-    ended: tuple[EndpointId, ...]
+    crashed_endpoints: tuple[EndpointId, ...]
     until: float
     revision: int = 0
 
@@ -45,13 +45,13 @@
 
 
 class QuarantineList(WatchSubscriber):
-    """Keeps quarantined requests in the key-value service.
+    """The quarantined requests, persisted in the key-value service.
 
-    There they outlive the entries. Otherwise the request would crash further
-    endpoints after each restart of the entries.
+    There they outlive the entries. Otherwise a poison request would crash
+    further endpoints after each restart of the entries.
 
     Args:
-      writes: tells whether this entry is the one to write a request.
+      writes: returns whether this entry has to write a request.
       on_quarantined: receives each request that is newly quarantined.
     """
 
@@ -59,12 +59,12 @@
         self,
         kv: Kv,
         clock: IReactorTime,
-        writes: Callable[[RequestDigest], bool],
+        is_writer: Callable[[RequestDigest], bool],
         on_quarantined: Callable[[RequestDigest], None],
     ):
         self._kv = kv
         self._clock = clock
-        self._writes = writes
+        self._is_writer = is_writer
         self._on_quarantined = on_quarantined
         self._rows: dict[RequestDigest, _Row] = {}
         self._writing = False
@@ -74,24 +74,26 @@
         return len(self._rows)
 
     def refusal(self, digest: RequestDigest) -> Failure | None:
-        """Returns why a request may go to no endpoint, None if it may."""
+        """Returns the failure of a quarantined request, None for any other."""
         row = self._rows.get(digest) if self._rows else None
         if row is None or self._clock.seconds() >= row.until:
             return None
-        reason = f"{len(row.ended)} endpoints crashed under this request"
+        reason = (
+            f"{len(row.crashed_endpoints)} endpoints crashed under this request"
+        )
         return failed(Code.QUARANTINED, reason)
 
-    def told(self, told: Quarantined) -> None:
-        """Takes a request that another entry has quarantined."""
+    def add(self, notice: Quarantined) -> None:
+        """Adds a request that another entry has quarantined."""
         now = self._clock.seconds()
-        until = now + told.for_ms / 1000 if told.for_ms else float("inf")
-        row = self._rows.get(told.digest)
+        until = now + notice.for_ms / 1000 if notice.for_ms else float("inf")
+        row = self._rows.get(notice.digest)
         if row is not None and row.until >= until:
             return
-        self._put(told.digest, _Row(told.ended, until))
+        self._put(notice.digest, _Row(notice.crashed_endpoints, until))
 
     def snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Takes all requests as they are written now."""
+        """Replaces the persisted requests with those stored now."""
         written = {_digest_of(entry.key) for entry in entries}
         for digest, row in list(self._rows.items()):
             if row.revision and digest not in written:
@@ -100,7 +102,7 @@
             self.changed(entry)
 
     def changed(self, entry: KvEntry) -> None:
-        """Takes a request that was written, or released by an operator."""
+        """Applies a request that was written, or released by an operator."""
         digest = _digest_of(entry.key)
         if entry.value is None:
             self._release(digest)
@@ -108,8 +110,8 @@
         try:
             value = msgspec.json.decode(entry.value, type=QuarantineValue)
         except msgspec.MsgspecError as exc:
-            bad = failed(Code.BAD_ENTRY, str(exc), entry.key)
-            emit(Event.ENTRY_REFUSED, key=entry.key, **explain(bad))
+            failure = failed(Code.BAD_ENTRY, str(exc), entry.key)
+            emit(Event.ENTRY_REFUSED, key=entry.key, **explain(failure))
             return
         row = self._rows.get(digest)
         if row is not None and row.is_permanent:
@@ -118,7 +120,7 @@
         self._put(digest, _Row(value.ended, float("inf"), entry.revision))
 
     def tick(self, now: float) -> None:
-        """Ends temporary quarantines, and writes permanent ones."""
+        """Ends expired temporary quarantines and writes permanent ones."""
         if not self._rows:
             return
         for digest, row in list(self._rows.items()):
@@ -134,7 +136,7 @@
             emit(
                 Event.REQUEST_QUARANTINED,
                 digest=digest,
-                ended=list(row.ended),
+                ended=list(row.crashed_endpoints),
                 permanent=row.is_permanent,
             )
         self._on_quarantined(digest)
@@ -144,14 +146,14 @@
             emit(Event.REQUEST_RELEASED, digest=digest)
 
     async def _write(self) -> None:
-        """Writes the requests that are this entry's to write."""
+        """Writes the permanent quarantines that this entry has to write."""
         self._writing = True
         try:
             for digest, row in list(self._rows.items()):
                 if (
                     row.is_permanent
                     and not row.revision
-                    and self._writes(digest)
+                    and self._is_writer(digest)
                 ):
                     await self._write_one(digest, row)
         finally:
@@ -159,7 +161,7 @@
             self._write_at = self._clock.seconds() + _WRITE_RETRY_S
 
     async def _write_one(self, digest: RequestDigest, row: _Row) -> None:
-        value = msgspec.json.encode(QuarantineValue(row.ended))
+        value = msgspec.json.encode(QuarantineValue(row.crashed_endpoints))
         swap = await self._kv.put_if(QUARANTINE_KEYS + digest, value, 0)
         if isinstance(swap, Failure):
             emit(Event.QUARANTINE_UNWRITTEN, digest=digest, **explain(swap))
@@ -169,7 +171,7 @@
 
     async def _release_oldest(self) -> None:
         written = {d: r.revision for d, r in self._rows.items() if r.revision}
-        if len(written) > _MOST_QUARANTINED:
+        if len(written) > _MAX_QUARANTINED:
             oldest = min(written, key=written.get)
             await self._kv.delete(QUARANTINE_KEYS + oldest)
 
--- a/magnolialug/quarantine/wiring.py
+++ b/magnolialug/quarantine/wiring.py
@@ -1,4 +1,4 @@
-"""Wires crash detection, crash counts and the quarantine."""
+"""Connects crash detection, crash counts and the quarantine list."""
 
 from collections.abc import Callable
 
@@ -11,126 +11,137 @@
 from magnolialug.owners.wiring import Talk
 from magnolialug.platform.kv import Kv
 from magnolialug.policy.answered import Answered
-from magnolialug.policy.crashcounter import CrashCounter, Term
+from magnolialug.policy.crashcounter import CrashCounter, QuarantineTerm
 from magnolialug.quarantine.crashdetector import CrashDetector
 from magnolialug.quarantine.messages import (
     CrashReport,
-    Loss,
+    LostRequest,
     Quarantined,
-    Survived,
+    RequestCompleted,
 )
 from magnolialug.quarantine.quarantinelist import QuarantineList
 from magnolialug.result import Failure
 
 __all__ = ["Quarantine"]
 
-# Two crashes may be chance. Callers retry within seconds, and a fault that
-# takes down many endpoints is over after this time.
+# Two crashes may be a coincidence. Callers retry within seconds, and a fault
+# that takes down many endpoints is over after this time.
 _TEMPORARY_S = 60.0
-# Keeps a datagram of one crash within 1,400 bytes, at 40 bytes a request.
+# Limits a crash report to 1,400 bytes, at 40 bytes per request.
 _LOSSES_PER_MESSAGE = 32
-# Bounds the memory for requests that were reported and not answered since.
-_MOST_REPORTED = 10_000
+# Bounds memory use for requests that were reported and not answered since.
+_MAX_REPORTED = 10_000
 
 
 class Quarantine:
-    """Detects poison requests and keeps them from endpoints.
+    """Detects poison requests and quarantines them.
 
-    A poison request arrives at any entry, so no single one sees all of its
-    crashes. Each entry reports what it lost in a crash to a few others, drawn
-    by the request's digest. These count, tell all entries of a request that
-    is to be quarantined, and write it to the key-value service.
+    A poison request can arrive at any entry, so no single entry sees all of
+    its crashes. Each entry reports the requests that it lost in a crash to a
+    few entries, which are selected by the request's digest. These count the
+    crashes, notify all entries of a request that is to be quarantined, and
+    write it to the key-value service.
 
     Attributes:
-      written: the quarantine list in the key-value service.
+      quarantined: the quarantine list in the key-value service.
 
     Args:
-      owners: draws the entries that count, and the one that writes.
+      owners: selects the entries that count, and the one that writes.
       on_quarantined: receives the digest of each newly quarantined request.
     """
 
     def __init__(
         self,
         owners: OwnerRing,
-        talk: Talk,
+        messenger: Talk,
         kv: Kv,
         clock: IReactorTime,
         on_quarantined: Callable[[RequestDigest], None],
     ):
         self._owners = owners
-        self._talk = talk
+        self._messenger = messenger
         self._clock = clock
         self._answered = Answered()
         self._counter = CrashCounter()
-        self._crashes = CrashDetector(self._crashed)
-        self._reported: dict[RequestDigest, None] = {}
-        self.written = QuarantineList(
+        self._crash_detector = CrashDetector(self._report_crash)
+        self._reported_requests: dict[RequestDigest, None] = {}
+        self.quarantined = QuarantineList(
             kv,
             clock,
             lambda digest: owners.owner(digest) == owners.me,
             on_quarantined,
         )
-        talk.takes(CrashReport, lambda report, _: self._count(report))
-        talk.takes(
-            Survived, lambda told, _: self._counter.survived(told.digest)
+        messenger.takes(
+            CrashReport, lambda report, _: self._count_crash(report)
+        )
+        messenger.takes(
+            RequestCompleted,
+            lambda done, _: self._counter.record_completion(done.digest),
+        )
+        messenger.takes(
+            Quarantined, lambda notice, _: self.quarantined.add(notice)
         )
-        talk.takes(Quarantined, lambda told, _: self.written.told(told))
 
     def refusal(self, digest: RequestDigest) -> Failure | None:
-        """Returns why a request may go to no endpoint, None if it may."""
-        return self.written.refusal(digest)
+        """Returns the failure of a quarantined request, None for any other."""
+        return self.quarantined.refusal(digest)
 
-    def lost(
+    def record_loss(
         self,
         endpoint: EndpointId,
         pool: Pool,
         digest: RequestDigest,
         answered: bool,
     ) -> None:
-        """Learns that an endpoint has closed a connection amid a request."""
-        self._crashes.lost(endpoint, pool, Loss(digest, answered))
+        """Records a request whose connection the endpoint has closed."""
+        self._crash_detector.record_loss(
+            endpoint, pool, LostRequest(digest, answered)
+        )
 
-    def survived(self, digest: RequestDigest) -> None:
-        """Learns that an endpoint has answered a request in full."""
+    def record_completion(self, digest: RequestDigest) -> None:
+        """Records that an endpoint has answered a request completely."""
         self._answered.add(digest)
-        if self._reported and digest in self._reported:
-            del self._reported[digest]
+        if self._reported_requests and digest in self._reported_requests:
+            del self._reported_requests[digest]
             for owner in self._owners.first(digest):
-                self._talk.send(Survived(digest), owner)
+                self._messenger.send(RequestCompleted(digest), owner)
 
     def tick(self, now: float) -> None:
-        """Forgets and writes what is due."""
-        self.written.tick(now)
+        """Ends expired quarantines and writes new ones."""
+        self.quarantined.tick(now)
 
-    def _crashed(self, endpoint: EndpointId, losses: tuple[Loss, ...]) -> None:
+    def _report_crash(
+        self, endpoint: EndpointId, losses: tuple[LostRequest, ...]
+    ) -> None:
         emit(Event.ENDPOINT_CRASHED, endpoint=endpoint, lost=len(losses))
         now = self._clock.seconds()
-        by_owner: dict[Address, list[Loss]] = {}
+        by_owner: dict[Address, list[LostRequest]] = {}
         for loss in set(losses):
             if self._answered.clears(loss.digest, now):
                 continue
-            self._reported[loss.digest] = None
-            # Its own too: an entry that is cut off still counts.
+            self._reported_requests[loss.digest] = None
+            # This entry also counts by itself, in case it is disconnected
+            # from the others.
             for owner in {self._owners.me, *self._owners.first(loss.digest)}:
                 by_owner.setdefault(owner, []).append(loss)
-        while len(self._reported) > _MOST_REPORTED:
-            del self._reported[next(iter(self._reported))]
+        while len(self._reported_requests) > _MAX_REPORTED:
+            del self._reported_requests[next(iter(self._reported_requests))]
         for owner, rows in by_owner.items():
             for begin in range(0, len(rows), _LOSSES_PER_MESSAGE):
-                told = tuple(rows[begin : begin + _LOSSES_PER_MESSAGE])
-                self._talk.send(CrashReport(endpoint, told), owner)
+                batch = tuple(rows[begin : begin + _LOSSES_PER_MESSAGE])
+                self._messenger.send(CrashReport(endpoint, batch), owner)
 
-    def _count(self, report: CrashReport) -> None:
-        """Counts a crash, and tells all entries of the poison requests."""
+    def _count_crash(self, report: CrashReport) -> None:
+        """Counts a crash, and notifies all entries of poison requests."""
         now = self._clock.seconds()
         for loss in report.losses:
             term = self._counter.record_crash(
                 loss.digest, report.endpoint, loss.answered, now
             )
-            if term is Term.NONE:
+            if term is QuarantineTerm.NONE:
                 continue
-            for_s = _TEMPORARY_S if term is Term.TEMPORARY else 0.0
+            for_s = _TEMPORARY_S if term is QuarantineTerm.TEMPORARY else 0.0
             ended = self._counter.endpoints(loss.digest)
             message = Quarantined(loss.digest, ended, int(for_s * 1000))
             for entry in (self._owners.me, *self._owners.others):
-                self._talk.send(message, entry)
+                self._messenger.send(message, entry)
--- a/magnolialug/sidecar/app.py
+++ b/magnolialug/sidecar/app.py
@@ -12,10 +12,10 @@
 from magnolialug.ids import EndpointId, StoreId, new_incarnation
 from magnolialug.metrics import Metrics
 from magnolialug.policy.blocks import token_count
-from magnolialug.policy.gate import Gate, Term
+from magnolialug.policy.gate import DispatchDecision, Gate
 from magnolialug.policy.lineup import Claimant, Lineup
 from magnolialug.policy.load import merge_tokens
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Code, Failure, failed
 from magnolialug.sidecar import callers
 from magnolialug.sidecar.answer import Answer
@@ -249,10 +249,10 @@
         now = self.clock.seconds()
         attempt = dispatch.attempt
         verdict, failure = self.gate.dispatch(attempt, now)
-        if verdict is Term.REFUSE:
+        if verdict is DispatchDecision.REFUSE:
             self.send_refusal(link, attempt, failure)
-        elif verdict is Term.ATTACH:
-            state = self.gate.ask(attempt, False, now)
+        elif verdict is DispatchDecision.ATTACH:
+            state = self.gate.query(attempt, False, now)
             callers.reattach(self, link, attempt, state, dispatch.resume_after)
         else:
             self._admit(link, dispatch, now)
--- a/magnolialug/sidecar/callers.py
+++ b/magnolialug/sidecar/callers.py
@@ -17,7 +17,7 @@
 def resume(app: "SidecarApp", link: Link, resume: msg.Resume) -> None:
     """Goes on with an answer, or seals an attempt never seen."""
     attempt = resume.attempt
-    state = app.gate.ask(attempt, resume.seal, app.clock.seconds())
+    state = app.gate.query(attempt, resume.seal, app.clock.seconds())
     if state is AttemptState.SEALED:
         record = app.gate.find(attempt)
         emit(Event.ATTEMPT_SEALED, request=attempt.request_id)
@@ -33,7 +33,7 @@
         nothing = Attempt(find.team, find.request_id, 0, "", 0.0)
         reattach(app, link, nothing, AttemptState.FORGOTTEN, 0)
         return
-    state = app.gate.ask(attempt, False, app.clock.seconds())
+    state = app.gate.query(attempt, False, app.clock.seconds())
     reattach(app, link, attempt, state, find.after_seq)
 
 
--- a/magnolialug/sidecar/mover.py
+++ b/magnolialug/sidecar/mover.py
@@ -9,10 +9,14 @@
 from magnolialug.events import Event, emit
 from magnolialug.ids import BlockId, EndpointId, StoreId
 from magnolialug.policy.blocks import BLOCK_TOKENS, block_digest
-from magnolialug.policy.keep import ChanceOf, Room, choose_victims
-from magnolialug.policy.linkrate import LinkRate
+from magnolialug.policy.eviction import (
+    ReturnChance,
+    SpaceRequest,
+    choose_victims,
+)
+from magnolialug.policy.linkestimator import LinkEstimator
 from magnolialug.policy.ring import Ring
-from magnolialug.policy.stored import BlockMeta, StoredBlock, Tier
+from magnolialug.policy.storedblock import BlockMeta, StoredBlock, Tier
 from magnolialug.result import Code, Failure
 from magnolialug.sidecar.engine import Engine
 from magnolialug.sidecar.store import Store
@@ -53,12 +57,12 @@
         clock: IReactorTime,
         wall: Callable[[], float],
     ):
-        self.chance_of: ChanceOf = lambda meta, idle_s: meta.chance
+        self.chance_of: ReturnChance = lambda meta, idle_s: meta.chance
         self._engine = engine
         self._stores = stores
         self._clock = clock
         self._wall = wall
-        self._links = LinkRate(rates)
+        self._links = LinkEstimator(rates)
         self._ring = Ring(EndpointId(name) for name in stores)
 
     def _store_of(self, root: str) -> Store | None:
@@ -99,7 +103,7 @@
     ) -> bool:
         now = self._clock.seconds()
         size = sum(row.length for row in rows)
-        read_s = self._links.expect(rows[-1].tier, size, now)
+        read_s = self._links.expected_read_s(rows[-1].tier, size, now)
         if pays(len(rows) * BLOCK_TOKENS, size, read_s):
             return True
         emit(Event.IMPORT_DECLINED, root=root, size=size, read_s=read_s)
@@ -182,7 +186,7 @@
         sample = await store.sample(tier, _SAMPLE)
         if isinstance(sample, Failure):
             return False
-        room = Room(size, meta, self._wall())
+        room = SpaceRequest(size, meta, self._wall())
         victims = choose_victims(sample, room, self.chance_of)
         if not victims:
             emit(Event.EXPORT_DECLINED, tier=tier.value, size=size)
--- a/magnolialug/sidecar/runner.py
+++ b/magnolialug/sidecar/runner.py
@@ -14,13 +14,13 @@
 from magnolialug.ids import TeamId, WeightVersion
 from magnolialug.metrics import Metrics
 from magnolialug.policy.blocks import BLOCK_TOKENS, block_chain, chain_seed
+from magnolialug.policy.eviction import ReturnIntervals, chance_from_intervals
 from magnolialug.policy.gate import Gate
-from magnolialug.policy.keep import Gaps, chance_by_gaps
-from magnolialug.policy.linkrate import import_pays
+from magnolialug.policy.linkestimator import import_is_cheaper
 from magnolialug.policy.load import merge_tokens
 from magnolialug.policy.placement import Weights
 from magnolialug.policy.slots import in_time
-from magnolialug.policy.stored import BlockMeta
+from magnolialug.policy.storedblock import BlockMeta
 from magnolialug.result import Code, Failure, failed
 from magnolialug.sidecar.engine import Engine, EngineJob, Run, Usage
 from magnolialug.sidecar.item import Item
@@ -78,8 +78,8 @@
         self._mover = mover
         self._wall = wall
         self._runs: dict[tuple, tuple[Run, bool]] = {}
-        self._gaps = Gaps()
-        mover.chance_of = chance_by_gaps(self._gaps, self._in_force)
+        self._gaps = ReturnIntervals()
+        mover.chance_of = chance_from_intervals(self._gaps, self._in_force)
         self._seen: dict[str, _Seen] = {}
         self.filled = 0
         self.epoch = 0
@@ -151,7 +151,7 @@
 
     def _pays(self, tokens: int, size: int, read_s: float) -> bool:
         measures = self._owner.current.deployment.measures
-        return import_pays(
+        return import_is_cheaper(
             tokens,
             size,
             read_s,
@@ -276,9 +276,9 @@
         now = self._wall()
         kind = f"{item.attempt.team}/{item.dispatch.kind}"
         keys = (item.dispatch.kind, kind, root)
-        horizon = self._gaps.horizon(item.dispatch.kind)
+        horizon = self._gaps.horizon_s(item.dispatch.kind)
         seen = self._seen.pop(root, None)
-        self._gaps.visit(keys, now - seen.at if seen else None)
+        self._gaps.record_visit(keys, now - seen.at if seen else None)
         visits = seen.visits + 1 if seen else 1
         self._seen[root] = _Seen(now, visits)
         if len(self._seen) > _SEEN_LIMIT:
--- a/magnolialug/sidecar/store.py
+++ b/magnolialug/sidecar/store.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from magnolialug.ids import BlockId
-from magnolialug.policy.stored import BlockMeta, StoredBlock, Tier
+from magnolialug.policy.storedblock import BlockMeta, StoredBlock, Tier
 from magnolialug.result import Failure
 
 __all__ = ["Store"]
--- a/magnolialug/standin/platform.py
+++ b/magnolialug/standin/platform.py
@@ -4,7 +4,7 @@
 from twisted.web.server import Site
 
 from magnolialug.config.deployment import Deployment
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.standin.engine import EngineSpec, EngineStandin
 from magnolialug.standin.engineface import engine_face
 from magnolialug.standin.kv import KvStore
--- a/magnolialug/standin/store.py
+++ b/magnolialug/standin/store.py
@@ -9,7 +9,7 @@
 
 from magnolialug.ids import BlockId
 from magnolialug.policy.blocks import block_digest
-from magnolialug.policy.stored import BlockMeta, StoredBlock, Tier
+from magnolialug.policy.storedblock import BlockMeta, StoredBlock, Tier
 from magnolialug.result import Code, Failure, failed
 from magnolialug.standin.web import Face, query
 from magnolialug.timing import sleep
--- a/tests/ctl/test_account.py
+++ b/tests/ctl/test_account.py
@@ -134,7 +134,7 @@
             (new, again, "new", 9.0, Reread.RESTARTED),
             (("p", 100, "no room"), "", "no room", 9.0, Reread.UNSAVED),
             (("p", 100, "closed"), "", "new", 9.0, Reread.UNSAVED),
-            (new, "", "unheard", 9.0, Reread.UNHEARD),
+            (new, "", "unheard", 9.0, Reread.NO_CONTACT),
             (new, "", "replaced", 9.0, Reread.REPLACED),
         ):
             found = account(
--- a/tests/entry/test_same_id.py
+++ b/tests/entry/test_same_id.py
@@ -163,7 +163,7 @@
         store.born_ms = FIRST
         cluster.pass_time(3)
         cluster.ask("/draft/x", parts="aa:9000,o:2000", seconds=2)
-        (poll,) = cluster.gateway.prefix_cache.watch.polls.values()
+        (poll,) = cluster.gateway.prefix_cache.store_pollers.pollers.values()
         index = poll.index
         self.assertTrue(index.parts)
         store.parts.clear()
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -24,7 +24,7 @@
 from magnolialug.entry.call import PromptCall
 from magnolialug.entry.serving import Served
 from magnolialug.policy.blocks import prompt_root
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Failure
 from magnolialug.sidecar.app import SidecarApp
 from magnolialug.standin.engine import EngineSpec, EngineStandin
--- a/tests/policy/test_crash_counter.py
+++ b/tests/policy/test_crash_counter.py
@@ -1,73 +1,77 @@
-"""Which requests are kept back, and which are cleared."""
+"""Which requests are quarantined, and which are cleared."""
 
 from testtools import TestCase
 
 from magnolialug.policy.answered import Answered
-from magnolialug.policy.crashcounter import CrashCounter, Term
+from magnolialug.policy.crashcounter import CrashCounter, QuarantineTerm
 
 
 class CrashCounterTest(TestCase):
-    """Ends are counted by endpoint and request."""
+    """Crashes are counted by endpoint and request."""
 
     def terms(self, rows):
-        """Returns the terms of ends: endpoint, answered, time."""
-        book = CrashCounter()
-        return [book.record_crash("d", *row) for row in rows]
+        """Returns the terms after crashes: rows of endpoint, answered, time."""
+        counter = CrashCounter()
+        return [counter.record_crash("d", *row) for row in rows]
 
-    def test_two_ends_hold_a_request_and_three_bar_it(self):
+    def test_two_crashes_quarantine_temporarily_and_three_permanently(self):
         rows = [(f"i-{n}", False, float(n)) for n in range(4)]
         self.assertEqual(
             [
-                Term.NONE,
-                Term.TEMPORARY,
-                Term.PERMANENT,
-                Term.PERMANENT,
+                QuarantineTerm.NONE,
+                QuarantineTerm.TEMPORARY,
+                QuarantineTerm.PERMANENT,
+                QuarantineTerm.PERMANENT,
             ],
             self.terms(rows),
         )
 
-    def test_one_endpoint_ends_once_however_many_tell_it(self):
+    def test_repeated_reports_of_one_crash_count_once(self):
         rows = [("i-1", False, 0.0)] * 4
-        self.assertEqual([Term.NONE] * 4, self.terms(rows))
+        self.assertEqual([QuarantineTerm.NONE] * 4, self.terms(rows))
 
-    def test_runs_that_had_answered_count_half(self):
+    def test_crashes_after_part_of_the_answer_count_half(self):
         rows = [(f"i-{n}", True, float(n)) for n in range(6)]
         self.assertEqual(
-            [Term.NONE] * 3 + [Term.TEMPORARY] * 2 + [Term.PERMANENT],
+            [QuarantineTerm.NONE] * 3
+            + [QuarantineTerm.TEMPORARY] * 2
+            + [QuarantineTerm.PERMANENT],
             self.terms(rows),
         )
 
-    def test_the_worse_of_two_words_of_one_end_counts(self):
+    def test_the_higher_of_two_reports_of_one_crash_counts(self):
         rows = [
             ("i-1", True, 0.0),
             ("i-1", False, 0.0),
             ("i-2", False, 1.0),
         ]
-        self.assertEqual(Term.TEMPORARY, self.terms(rows)[-1])
+        self.assertEqual(QuarantineTerm.TEMPORARY, self.terms(rows)[-1])
 
-    def test_ends_long_ago_count_no_more(self):
+    def test_crashes_far_apart_are_not_added_up(self):
         rows = [("i-1", False, 0.0), ("i-2", False, 601.0)]
-        self.assertEqual([Term.NONE] * 2, self.terms(rows))
+        self.assertEqual([QuarantineTerm.NONE] * 2, self.terms(rows))
 
-    def test_a_whole_answer_clears_a_request(self):
-        book = CrashCounter()
-        book.record_crash("d", "i-1", False, 0.0)
-        book.survived("d")
-        self.assertEqual(Term.NONE, book.record_crash("d", "i-2", False, 1.0))
-        self.assertEqual(("i-2",), book.endpoints("d"))
+    def test_a_complete_answer_clears_a_request(self):
+        counter = CrashCounter()
+        counter.record_crash("d", "i-1", False, 0.0)
+        counter.record_completion("d")
+        self.assertEqual(
+            QuarantineTerm.NONE, counter.record_crash("d", "i-2", False, 1.0)
+        )
+        self.assertEqual(("i-2",), counter.endpoints("d"))
 
-    def test_what_is_remembered_is_bounded(self):
-        book = CrashCounter()
+    def test_the_number_of_counted_requests_is_bounded(self):
+        counter = CrashCounter()
         for number in range(10_001):
-            book.record_crash(f"d{number}", "i-1", False, 0.0)
-        self.assertEqual((), book.endpoints("d0"))
-        self.assertEqual(("i-1",), book.endpoints("d10000"))
+            counter.record_crash(f"d{number}", "i-1", False, 0.0)
+        self.assertEqual((), counter.endpoints("d0"))
+        self.assertEqual(("i-1",), counter.endpoints("d10000"))
 
 
-class AnsweredTest(TestCase):
-    """An answer clears a request of the ends of one fault."""
+class RecentAnswersTest(TestCase):
+    """A recent answer rules out a request as the cause of one fault."""
 
-    def test_ends_together_are_one_fault(self):
+    def test_simultaneous_crashes_are_one_fault(self):
         answered = Answered()
         answered.add("d")
         for now in (5.0, 5.0, 5.9):
@@ -75,10 +79,10 @@
         self.assertFalse(answered.clears("d", 6.1))
         self.assertFalse(answered.clears("d", 6.2))
 
-    def test_what_was_never_answered_is_not_cleared(self):
+    def test_a_request_without_an_answer_is_not_cleared(self):
         self.assertFalse(Answered().clears("d", 0.0))
 
-    def test_what_is_remembered_is_bounded(self):
+    def test_the_number_of_recorded_answers_is_bounded(self):
         answered = Answered()
         for number in range(4097):
             answered.add(f"d{number}")
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -5,14 +5,17 @@
 from testtools import TestCase
 
 from magnolialug.policy.admission import Admission, Limit
-from magnolialug.policy.belief import Beliefs, EngineBelief
 from magnolialug.policy.blocks import block_chain, chain_seed, prompt_root
-from magnolialug.policy.keep import Gaps
-from magnolialug.policy.linkrate import LinkRate
+from magnolialug.policy.cacheestimates import (
+    CacheEstimates,
+    EngineCacheEstimate,
+)
+from magnolialug.policy.eviction import ReturnIntervals
+from magnolialug.policy.linkestimator import LinkEstimator
 from magnolialug.policy.membership import Members, MemberState
 from magnolialug.policy.retry import Backoff, Budget, Ending, may_retry
 from magnolialug.policy.ring import Ring
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Code
 
 NOT_RUN, LOST = Ending.NOT_RUN, Ending.LOST
@@ -132,8 +135,8 @@
         )
 
     def test_beliefs_age_by_volume_and_are_voided_by_epochs(self):
-        beliefs = Beliefs(10)
-        beliefs.seen_engine("r", "e", EngineBelief(600, 1000, 1))
+        beliefs = CacheEstimates(10)
+        beliefs.record_engine("r", "e", EngineCacheEstimate(600, 1000, 1))
         cases = (
             # filled since, epoch, believed
             (1000, 1, 600),
@@ -146,11 +149,11 @@
             self.assertEqual(tokens, got)
 
     def test_a_prompt_that_is_due_has_a_better_chance_than_a_new_one(self):
-        gaps = Gaps()
-        gaps.visit(["k"], None)
+        gaps = ReturnIntervals()
+        gaps.record_visit(["k"], None)
         for _ in range(50):
-            gaps.visit(["k"], 1000.0)
-        horizon = gaps.horizon("k")
+            gaps.record_visit(["k"], 1000.0)
+        horizon = gaps.horizon_s("k")
         self.assertTrue(200 < horizon < 300, horizon)
         fresh, due, gone = (
             gaps.chance(["k"], idle, horizon) for idle in (0, 900, 5000)
@@ -160,11 +163,13 @@
         self.assertLess(gone, due / 2)
 
     def test_a_wait_drains_and_a_slow_link_is_remembered(self):
-        links = LinkRate({Tier.DISK: 1e9})
+        links = LinkEstimator({Tier.DISK: 1e9})
         links.observe(Tier.DISK, 10**9, 9.0, 0.0)
-        expected = [links.expect(Tier.DISK, 10**9, at) for at in (0, 4, 20)]
+        expected = [
+            links.expected_read_s(Tier.DISK, 10**9, at) for at in (0, 4, 20)
+        ]
         self.assertEqual([9.0, 5.0, 1.0], expected)
         for at in range(4):
             links.observe(Tier.DISK, 10**9, 8.0, 30.0 + at)
-        self.assertEqual(8.0, links.expect(Tier.DISK, 10**9, 60.0))
-        self.assertEqual(1.0, links.expect(Tier.DISK, 10**9, 300.0))
+        self.assertEqual(8.0, links.expected_read_s(Tier.DISK, 10**9, 60.0))
+        self.assertEqual(1.0, links.expected_read_s(Tier.DISK, 10**9, 300.0))
--- a/tests/policy/test_engine_cost.py
+++ b/tests/policy/test_engine_cost.py
@@ -33,8 +33,8 @@
         """Returns the cost of a prompt, by what the engine holds."""
         state = self.ledger.state("me", 0.0, "s", prompt.shared)
         held = sum(part.tokens for part in prompt.shared[: state.found])
-        tokens = prompt.tokens_in + prompt.tokens_out
-        unread = prompt.tokens_in - held
+        tokens = prompt.input_tokens + prompt.max_output_tokens
+        unread = prompt.input_tokens - held
         return engine_cost_s(self.load, 1, tokens, unread, fetch_s, 0)
 
 
--- a/tests/policy/test_digest.py
+++ b/tests/policy/test_request_digest.py
@@ -1,20 +1,20 @@
-"""What makes two requests the same."""
+"""Which fields of a request determine its digest."""
 
 from testtools import TestCase
 
-from magnolialug.policy.digest import digest_of
+from magnolialug.policy.requestdigest import request_digest
 
 
 class DigestTest(TestCase):
-    """Caller, path and body count, each by itself."""
+    """The team, the path and the body are hashed separately."""
 
     def test_the_same_request_has_the_same_digest(self):
         self.assertEqual(
-            digest_of("team-a", b"/x?y=1", b"body"),
-            digest_of("team-a", b"/x?y=1", b"body"),
+            request_digest("team-a", b"/x?y=1", b"body"),
+            request_digest("team-a", b"/x?y=1", b"body"),
         )
 
-    def test_each_field_counts_and_none_runs_into_the_next(self):
+    def test_fields_count_separately_without_shifting_boundaries(self):
         rows = [
             ("team-a", b"/x", b"body"),
             ("team-b", b"/x", b"body"),
@@ -24,4 +24,4 @@
             ("team-a/", b"x", b"body"),
             ("", b"team-a/x", b"body"),
         ]
-        self.assertEqual(len(rows), len({digest_of(*row) for row in rows}))
+        self.assertEqual(len(rows), len({request_digest(*row) for row in rows}))
--- a/tests/prefixcache/test_cache_parts.py
+++ b/tests/prefixcache/test_cache_parts.py
@@ -1,4 +1,4 @@
-"""Shared parts of prompts are kept in stores and read back whole."""
+"""Shared prompt parts are saved to stores and fetched completely."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 
 
 def headers(cluster, name):
-    """Returns a header of all prompts that arrived, "" where it is absent."""
+    """Returns a header of all received prompts, "" where it is absent."""
     return [
         req.headers.get(name, "")
         for req in cluster.seen()
@@ -17,14 +17,14 @@
 
 
 class CachePartsTest(TestCase):
-    """One store, one or two entries."""
+    """One store and one or two entries."""
 
     def started(self, vms=("front-1",), **options):
-        """Returns a cluster with a store that has been heard."""
+        """Returns a cluster with a store that it polls, and the store."""
         cluster = GatewayCluster(desks=0, engines=1, vms=vms)
         return cluster, cluster.add_store(**options)
 
-    def test_a_part_is_saved_once_and_fetched_from_then_on(self):
+    def test_a_part_is_saved_once_and_then_fetched(self):
         cluster, store = self.started()
         for _ in range(3):
             cluster.ask("/draft/x", seconds=1)
@@ -37,20 +37,20 @@
         self.assertEqual(["10.2.0.2:8746,10.2.0.2:8746,-"] * 2, fetched[1:])
         self.assertEqual([], store.torn_reads)
 
-    def test_the_requests_own_part_is_never_saved(self):
+    def test_the_unshared_part_of_a_request_is_never_saved(self):
         cluster, store = self.started()
         cluster.ask("/draft/x", parts="aa:500,own1:900")
         self.assertEqual({("/m/1", "aa")}, set(store.parts))
 
-    def test_teams_that_are_isolated_and_versions_have_their_own(self):
+    def test_isolated_teams_and_versions_have_separate_namespaces(self):
         cluster, store = self.started()
         cluster.ask("/draft/x", key="key-b")
         cluster.ask("/draft/x", key="key-a")
-        salts = {salt for salt, _ in store.parts}
-        self.assertEqual({"team-b/m/1", "/m/1"}, salts)
+        namespaces = {namespace for namespace, _ in store.parts}
+        self.assertEqual({"team-b/m/1", "/m/1"}, namespaces)
         self.assertEqual(0, store.reads)
 
-    def test_a_part_that_is_being_written_is_not_read(self):
+    def test_a_part_that_is_being_written_is_not_fetched(self):
         cluster, store = self.started()
         (engine,) = cluster.engines.values()
         engine.save_s = 2.0
@@ -62,13 +62,13 @@
         self.assertEqual(2, store.reads)
         self.assertEqual([], store.torn_reads)
 
-    def test_a_store_that_comes_back_empty_is_never_read_half_written(self):
-        """A store dies and returns; one entry still believes its old word.
+    def test_no_partial_reads_after_a_store_restarts_empty(self):
+        """A store restarts while one entry still uses its earlier state.
 
-        Symptom: a request reads a part that is being written. Sequence: two
-        entries know a part, the store restarts empty, one entry has it saved
-        again, the other still has it fetched. Cause: a store's word counted
-        for ever.
+        Symptom: a request fetches a part that is being written. Sequence: two
+        entries have a part in their index, the store restarts empty, a
+        request of one entry saves the part again, one of the other still
+        fetches it. Cause: a store's reported state never expired.
         """
         for seed in range(20):
             random = Random(seed)
@@ -88,11 +88,12 @@
                     store.mute = False
             self.assertEqual([], store.torn_reads, seed)
 
-    def test_a_late_fetch_is_thrown_away(self):
+    def test_a_fetch_has_a_deadline(self):
         """A request waits in an engine's queue while the store restarts.
 
-        Symptom: as above, from the queue. The bound on the fetch, on the
-        servers' clock, ends before anything can be written again.
+        Symptom: once admitted, it fetches a part that is being written. The
+        deadline of the fetch, on the servers' clock, is before the first time
+        at which anything can be written again.
         """
         cluster, _ = self.started()
         cluster.ask("/draft/x", seconds=1)
@@ -101,13 +102,13 @@
         now_ms = cluster.net.seconds() * 1000 + 5000
         self.assertTrue(now_ms < until_ms + 200 < now_ms + 2200)
 
-    def test_parts_of_replaced_weights_are_read_but_no_new_ones_believed(self):
+    def test_only_earlier_parts_of_replaced_weights_are_fetched(self):
         """Weights are being replaced while prompts return.
 
-        Symptom: every prompt is read again on the engines that still have
-        the old weights, and their queues grow. Cause: parts of the old
-        version were not fetched any more, though those that were whole
-        before the change had been made by the old version alone.
+        Symptom: engines that still serve the old weights recompute every
+        prompt, and their queues grow. Cause: parts of the old version were
+        not fetched any more, although those that were complete before the
+        change can only have been computed by the old version.
         """
         cluster, store = self.started()
         cluster.ask("/draft/x", seconds=1)
@@ -117,24 +118,26 @@
         cluster.pass_time(1)
         cluster.ask("/draft/x", seconds=0.3)
         self.assertTrue(headers(cluster, "x-kv-fetch-from")[-1])
-        index = cluster.gateway.prefix_cache.watch.polls["cache"].index
+        index = cluster.gateway.prefix_cache.store_pollers.pollers[
+            "cache"
+        ].index
         self.assertNotIn(("/m/1", "late"), index.parts)
 
-    def test_lost_events_cost_a_fetch_and_nothing_more(self):
+    def test_lost_events_cause_no_failure_and_no_partial_read(self):
         cluster, store = self.started()
         store.lose_events = 2
         for _ in range(8):
             self.assertEqual(200, cluster.ask("/draft/x").last.status)
         self.assertEqual([], store.torn_reads)
 
-    def test_a_full_store_is_asked_to_keep_no_more(self):
+    def test_nothing_more_is_saved_to_a_full_store(self):
         cluster, store = self.started(capacity=6000)
         for number in range(8):
             cluster.ask("/draft/x", parts=f"p{number}:2000,o{number}:900")
         self.assertEqual(2, len(store.parts))
         self.assertEqual(2, sum(map(bool, headers(cluster, "x-kv-save-to"))))
 
-    def test_a_silent_store_is_not_read(self):
+    def test_nothing_is_fetched_from_an_unresponsive_store(self):
         cluster, store = self.started()
         cluster.ask("/draft/x", seconds=1)
         store.mute = True
@@ -143,13 +146,13 @@
         self.assertEqual("", headers(cluster, "x-kv-fetch-from")[-1])
 
     def test_nothing_is_saved_under_weights_that_are_being_replaced(self):
-        """Weights change under a run that is being saved.
+        """Weights change during a run whose parts are saved.
 
-        Symptom: a request uses cache that was made under other weights.
-        Sequence: a run begins under version 1, its engine takes version 2
-        while the prompt is read, the part is saved under the salt of version
-        1, and an engine that still has version 1 fetches it. Cause: parts
-        were saved after a newer version had been named.
+        Symptom: a request uses cache that was computed with other weights.
+        Sequence: a run starts on version 1, its engine loads version 2
+        during prefill, the part is saved under the namespace of version 1,
+        and an engine that still serves version 1 fetches it. Cause: parts
+        were saved after a newer version had been configured.
         """
         cluster, store = self.started()
         cluster.gateway.routes.weights["m"] = 2
@@ -157,22 +160,24 @@
         self.assertEqual("", headers(cluster, "x-kv-save-to")[-1])
         self.assertEqual({}, store.parts)
 
-    def test_an_idle_stores_word_keeps_counting(self):
-        """A store has nothing to tell for a while.
+    def test_the_state_of_an_idle_store_stays_fresh(self):
+        """A store has no events to report for a while.
 
-        Symptom: parts are read again though a store has them. Sequence: a
-        poll waits for news that do not come; just before its answer the last
-        word is older than it may be. Cause: the waits were too long.
+        Symptom: parts are recomputed although a store holds them. Sequence: a
+        poll waits and no event occurs; just before its reply, the last
+        contact is longer ago than allowed. Cause: the waits were too long.
         """
         cluster, _ = self.started()
         cluster.ask("/draft/x", seconds=1)
         for _ in range(200):
             cluster.pass_time(0.02)
             now = cluster.net.seconds()
-            (poll,) = cluster.gateway.prefix_cache.watch.polls.values()
-            self.assertTrue(poll.index.trusted(now))
+            (poller,) = (
+                cluster.gateway.prefix_cache.store_pollers.pollers.values()
+            )
+            self.assertTrue(poller.index.is_fresh(now))
 
-    def test_a_fresh_entry_reads_what_a_store_holds(self):
+    def test_a_new_entry_fetches_what_a_store_holds(self):
         cluster, store = self.started()
         cluster.ask("/draft/x", seconds=1)
         cluster.start("front-2", 2)
--- a/tests/prefixcache/test_cancelled_saves.py
+++ b/tests/prefixcache/test_cancelled_saves.py
@@ -1,7 +1,7 @@
-"""Parts whose first reader did not run.
+"""Saves of parts whose first engine did not run the request.
 
-The pattern: engines crash and start again while prompts come, so that a
-prompt is turned away by its first engine and is read by a second one.
+Engines crash and restart while prompts arrive, so that a prompt is refused by
+its first engine and prefilled by a second one.
 """
 
 from testtools import TestCase
@@ -11,7 +11,7 @@
 
 
 class CancelledSaveTest(TestCase):
-    """Two engines and a store; the engine tried first does not run."""
+    """Two engines and a store; the first engine does not run the request."""
 
     def setUp(self):
         super().setUp()
@@ -19,26 +19,26 @@
         self.store = self.cluster.add_store()
 
     def ask(self, number, seconds=0.4):
-        """Sends a prompt whose parts are its own; returns its caller."""
+        """Sends a prompt with its own parts; returns its caller."""
         parts = f"aa:500,p{number}:2000,o{number}:500"
         return self.cluster.ask("/check/x", parts=parts, seconds=seconds)
 
-    def whole_parts(self):
-        """Returns the names of the parts that the store holds."""
+    def complete_parts(self):
+        """Returns the names of the parts that the store holds completely."""
         return {name for (_, name), p in self.store.parts.items() if p.whole}
 
-    def test_the_engine_that_reads_a_part_saves_it(self):
-        """The first engine sheds; the second one was not asked to save."""
-        sheds = next(iter(self.cluster.engines.values()))
-        sheds.faults[:] = [Fault.SHED] * 12
+    def test_the_engine_that_prefills_a_part_saves_it(self):
+        """The first engine sheds load; the second was not asked to save."""
+        shedding = next(iter(self.cluster.engines.values()))
+        shedding.faults[:] = [Fault.SHED] * 12
         for number in range(12):
             self.assertEqual(200, self.ask(number).last.status)
         self.cluster.pass_time(0.5)
         expected = {f"p{number}" for number in range(12)}
-        self.assertLess(len(sheds.faults), 12)
-        self.assertEqual(expected, self.whole_parts() - {"aa"})
+        self.assertLess(len(shedding.faults), 12)
+        self.assertEqual(expected, self.complete_parts() - {"aa"})
 
-    def test_a_part_is_saved_after_its_reader_could_not_be_reached(self):
+    def test_a_part_is_saved_after_its_first_engine_was_unreachable(self):
         down = next(iter(self.cluster.engines.values()))
         self.cluster.net.servers.pop(down.address)
         for conn in list(down.open):
@@ -47,4 +47,4 @@
             self.assertEqual(200, self.ask(number).last.status)
         self.cluster.pass_time(0.5)
         expected = {f"p{number}" for number in range(12)}
-        self.assertEqual(expected, self.whole_parts() - {"aa"})
+        self.assertEqual(expected, self.complete_parts() - {"aa"})
--- a/tests/prefixcache/test_garbage_collector.py
+++ b/tests/prefixcache/test_garbage_collector.py
@@ -1,4 +1,4 @@
-"""Stores of cache parts are kept free of replaced weights."""
+"""Cached parts of replaced weights are freed."""
 
 from testtools import TestCase
 from twisted.internet.defer import ensureDeferred
@@ -10,11 +10,11 @@
 OLD = "/m/1"
 
 
-class StoreKeeperTest(TestCase):
-    """Parts that no engine can fetch any more make room for others."""
+class GarbageCollectorTest(TestCase):
+    """Parts that no engine can fetch any more are freed."""
 
     def started(self, engines=2, capacity=1_000_000):
-        """Returns a cluster whose store holds parts of the first weights."""
+        """Returns a cluster and its store with parts of the first weights."""
         cluster = GatewayCluster(desks=0, engines=engines)
         store = cluster.add_store(capacity=capacity)
         for number in range(4):
@@ -23,15 +23,15 @@
         return cluster, store
 
     def name_weights(self, cluster, version=2):
-        """Writes what the operator wants."""
+        """Configures a weight version as the operator does."""
         row = {"model": "m", "version": version}
         cluster.write("op/version/m", row)
 
     def test_parts_of_replaced_weights_are_freed(self):
-        """Two versions are named in one day.
+        """Two versions are configured within one day.
 
         Symptom: half of the shared parts find no room in the stores and are
-        read again. Cause: the parts of all earlier weights stayed there.
+        recomputed. Cause: the parts of all earlier weights stayed there.
         """
         cluster, store = self.started()
         store.begin((OLD, "broken off"), 5000)
@@ -40,8 +40,8 @@
         self.assertEqual([2, 2], [e.version for e in cluster.engines.values()])
         self.assertEqual({}, store.parts)
         self.assertEqual(5, len(set(store.freed)))
-        (poll,) = cluster.gateway.prefix_cache.watch.polls.values()
-        self.assertEqual(0, poll.index.used)
+        (poller,) = cluster.gateway.prefix_cache.store_pollers.pollers.values()
+        self.assertEqual(0, poller.index.used)
 
     def test_new_parts_find_room_again(self):
         cluster, store = self.started(capacity=9000)
@@ -50,16 +50,16 @@
         cluster.ask("/draft/x", parts="new:6000,o:900")
         self.assertIn(("/m/2", "new"), store.parts)
 
-    def test_nothing_is_freed_while_an_engine_has_the_old_weights(self):
+    def test_nothing_is_freed_while_an_engine_serves_the_old_weights(self):
         cluster, store = self.started()
-        stuck = next(iter(cluster.engines.values()))
-        stuck.late_orders = [NEVER_S] * 1000
+        slow = next(iter(cluster.engines.values()))
+        slow.late_orders = [NEVER_S] * 1000
         self.name_weights(cluster)
         cluster.pass_time(9)
         self.assertEqual([], store.freed)
         self.assertEqual(4, len(store.parts))
 
-    def test_nor_before_every_fetch_has_ended(self):
+    def test_nothing_is_freed_before_every_fetch_has_ended(self):
         cluster, store = self.started(engines=1)
         (engine,) = cluster.engines.values()
         self.name_weights(cluster)
@@ -68,23 +68,25 @@
         cluster.pass_time(1.7)
         self.assertEqual([], store.freed)
 
-    def test_a_store_that_starts_again_keeps_what_it_then_holds(self):
-        """The call to free parts crosses the restart of its store.
+    def test_a_delayed_call_frees_nothing_after_a_store_restart(self):
+        """A call that frees parts arrives after a restart of its store.
 
-        Symptom: a prompt is read from a part that is freed meanwhile.
-        Sequence: a store is listed, starts again and is written to, then the
-        call arrives. Cause: the call did not say which start it was for.
+        Symptom: a part is freed while it is being fetched. Sequence: a store
+        is listed, restarts and is written to, then the call arrives. Cause:
+        the call did not name the start of the store that it was meant for.
         """
         cluster, store = self.started()
-        ((name, poll),) = cluster.gateway.prefix_cache.watch.polls.items()
-        cleaner = cluster.gateway.prefix_cache.collector
+        ((name, poller),) = (
+            cluster.gateway.prefix_cache.store_pollers.pollers.items()
+        )
+        collector = cluster.gateway.prefix_cache.collector
         store.restart()
         store.begin((OLD, "p0"), 2000)
         freed = []
-        work = cleaner._free(
+        work = collector._free(
             name,
             store.address,
-            poll.index,
+            poller.index,
             [CacheChange(True, OLD, "p0", 2000)],
         )
         ensureDeferred(work).addCallback(freed.append)
@@ -92,7 +94,7 @@
         self.assertEqual([False], freed)
         self.assertIn((OLD, "p0"), store.parts)
 
-    def test_one_that_does_not_answer_is_asked_again(self):
+    def test_the_cleanup_of_an_unresponsive_store_is_repeated(self):
         cluster, store = self.started()
         self.name_weights(cluster)
         cluster.pass_time(3)
--- a/tests/prefixcache/test_owners_of_stores.py
+++ b/tests/prefixcache/test_owners_of_stores.py
@@ -1,4 +1,4 @@
-"""Two entries follow each store; all others ask them."""
+"""Two entries index each store; all others query them."""
 
 import itertools
 
@@ -21,27 +21,31 @@
 VMS = tuple(f"front-{n}" for n in range(1, 13))
 
 
-def kept_books(cluster):
-    """Returns the books that are kept of the store, over all gateways."""
+def indexes(cluster):
+    """Returns the indexes of the store, over all gateways."""
     return [
-        poll.index
+        poller.index
         for gateway in cluster.gateways
-        for _, poll in gateway.prefix_cache.watch.kept()
+        for _, poller in gateway.prefix_cache.store_pollers.indexed()
     ]
 
 
 def owners(cluster):
-    """Returns the gateways that follow the store."""
-    return [g for g in cluster.gateways if list(g.prefix_cache.watch.kept())]
+    """Returns the gateways that index the store."""
+    return [
+        g
+        for g in cluster.gateways
+        if list(g.prefix_cache.store_pollers.indexed())
+    ]
 
 
 class FleetTest(TestCase):
-    """Many entries, one store that holds four polls at once."""
+    """Many entries, and a store that accepts four concurrent polls."""
 
     numbers = itertools.count(1)
 
     def started(self, vms=VMS):
-        """Returns a cluster whose entries know each other, and a store."""
+        """Returns a cluster of connected entries, and a store."""
         cluster = GatewayCluster(desks=0, engines=1, vms=vms)
         cluster.pass_time(1)
         store = cluster.add_store()
@@ -50,26 +54,26 @@
         return cluster, store
 
     def ask_each(self, cluster, gateways):
-        """Sends a prompt through each gateway, two a second."""
+        """Sends a prompt through each gateway, within half a second."""
         for gateway in gateways:
             cluster.send(
                 "/draft/x", cluster.caller((gateway.settings.host, 80))
             )
             cluster.pass_time(0.5 / len(gateways))
 
-    def ask_everywhere(self, cluster):
+    def ask_all(self, cluster):
         """Sends the same prompt through every gateway."""
         for number in range(1, 13):
             caller = cluster.caller((f"10.0.0.{number}", 80))
             cluster.ask("/draft/x", caller=caller, seconds=0.3)
 
-    def test_a_store_is_not_asked_more_often_than_it_answers(self):
-        """The fleet grows to more entries than a store holds polls.
+    def test_polls_do_not_exceed_what_a_store_accepts(self):
+        """There are more entries than a store accepts concurrent polls.
 
-        Symptom: half of all polls are refused, and prompts are read again
+        Symptom: half of all polls are refused, and prompts are recomputed
         although a store holds them. Sequence: every entry polls every store.
-        Cause: polls grew with the fleet, and a store's word ran out between
-        two that were answered.
+        Cause: polls grew with the number of entries, and a store's reported
+        state expired between two answered polls.
         """
         cluster, store = self.started()
         store.refused = 0
@@ -77,43 +81,43 @@
         for _ in range(50):
             cluster.pass_time(0.1)
             now = cluster.net.seconds()
-            kept = [
+            polled = [
                 p.index
                 for g in owners(cluster)
-                for _, p in g.prefix_cache.watch.kept()
+                for _, p in g.prefix_cache.store_pollers.indexed()
             ]
-            self.assertEqual(2, len(kept))
-            self.assertTrue(all(book.trusted(now) for book in kept))
+            self.assertEqual(2, len(polled))
+            self.assertTrue(all(index.is_fresh(now) for index in polled))
         self.assertEqual(0, store.refused)
         self.assertLess(len(store.seen) - seen, 5 * 2 * 2)
 
-    def test_starting_costs_a_store_no_call_of_each_entry(self):
-        """All machines lose power and start at the same moment.
+    def test_a_store_is_not_called_by_every_starting_entry(self):
+        """All machines lose power and start at the same time.
 
-        Symptom: 68 entries ask each of 21 stores for all that it holds; that
-        takes half of the processor time of their start, and stalls the
-        stores. Cause: each entry kept a book of each store.
+        Symptom: 68 entries list the contents of each of 21 stores; that takes
+        half of the processor time of their start, and stalls the stores.
+        Cause: each entry indexed each store.
         """
         cluster, store = self.started()
         self.assertLess(len(store.seen), 30)
 
-    def test_every_entry_fetches_what_one_has_had_saved(self):
+    def test_every_entry_fetches_a_part_saved_through_one(self):
         cluster, store = self.started()
         cluster.ask("/draft/x", seconds=2)
-        self.ask_everywhere(cluster)
+        self.ask_all(cluster)
         self.assertEqual(12 * 2, store.reads)
         self.assertEqual([], store.torn_reads)
 
-    def test_a_part_that_another_entry_has_saved_is_not_saved_again(self):
-        """Two callers bring the same dossier at once, to two entries.
+    def test_a_part_is_not_saved_again_through_another_entry(self):
+        """Two callers send the same prompt at once, to two entries.
 
         Symptom: it is written to the store twice. Cause: a save was known
-        only where it had been asked for.
+        only to the entry that had requested it.
         """
         cluster, store = self.started()
         (engine,) = cluster.engines.values()
         engine.save_s = 1.0
-        self.ask_everywhere(cluster)
+        self.ask_all(cluster)
         saves = [
             req.headers.get("x-kv-save-to", "")
             for req in cluster.seen()
@@ -121,14 +125,14 @@
         ]
         self.assertEqual(1, sum(map(bool, saves)))
 
-    def test_who_brings_it_meanwhile_goes_where_it_is_read(self):
-        """Callers bring the same dossier within a second, while load is high.
+    def test_equal_prompts_go_to_the_engine_that_prefills_the_part(self):
+        """Callers send the same prompt within a second, under high load.
 
-        Symptom: it is read by several engines at once. Sequence: the first
-        one goes to an engine far down the prompt's ring, since those before
-        are busy; they are idle again, and the next ones ask about the first
-        three only. Cause: who reads a part was known at that engine's owner
-        alone.
+        Symptom: several engines prefill it at once. Sequence: the first
+        request goes to an engine far down the prompt's ring, because those
+        before it are busy; they become idle, and the next requests query only
+        the first three. Cause: only that engine's owner knew which engine
+        was prefilling the part.
         """
         cluster = GatewayCluster(desks=0, engines=8, vms=VMS[:3])
         cluster.pass_time(1)
@@ -138,18 +142,18 @@
             engine.work_s = 0.4
             engine.save_s = 1.0
         for far in list(cluster.engines)[:4]:
-            self.tell(cluster, far, 90_000)
+            self.report_load(cluster, far, 90_000)
             for number in range(4):
                 caller = cluster.caller((f"10.0.0.{number % 3 + 1}", 80))
                 parts = f"aa:500,{far}:9000,o{number}:900"
                 cluster.send("/draft/x", caller, parts=parts, tokens="10400,50")
                 cluster.pass_time(0.1)
-                self.tell(cluster, far, 0)
+                self.report_load(cluster, far, 0)
             self.assertEqual(4, sum(cluster.engines[far].ran.values()), far)
             cluster.pass_time(3)
 
-    def tell(self, cluster, free, tokens):
-        """Tells of other entries' work at all engines but one."""
+    def report_load(self, cluster, free, tokens):
+        """Reports other entries' work at all engines but one."""
         for engine in cluster.engines:
             running = 9 if tokens and engine != free else 0
             share = WorkShare(engine, (tokens,), tokens, running)
@@ -157,11 +161,11 @@
             for gateway in cluster.gateways:
                 gateway.owners.ledger_service.record(work)
 
-    def test_the_homes_die(self):
-        """Both entries that follow a store are killed at the same moment.
+    def test_both_owners_of_a_store_die(self):
+        """Both entries that index a store are killed at the same time.
 
         Symptom: nothing is fetched for the nine seconds in which they are
-        still registered. Cause: nobody else followed the store.
+        still registered. Cause: no other entry indexed the store.
         """
         cluster, store = self.started()
         cluster.ask("/draft/x", seconds=2)
@@ -182,52 +186,52 @@
         self.assertGreater(store.reads - before, 0.8 * 4 * 2 * len(alive))
         self.assertEqual([], store.torn_reads)
 
-    def test_a_store_that_comes_back_empty(self):
+    def test_a_restarted_store_is_indexed_as_empty(self):
         cluster, store = self.started()
         cluster.ask("/draft/x", seconds=2)
         store.restart()
         cluster.pass_time(2.5)
-        kept = [
+        polled = [
             p.index.parts
             for g in owners(cluster)
-            for _, p in g.prefix_cache.watch.kept()
+            for _, p in g.prefix_cache.store_pollers.indexed()
         ]
-        self.assertEqual([{}, {}], kept)
+        self.assertEqual([{}, {}], polled)
 
 
-class _Book:
-    """Has one owner for all stores."""
+class _Owners:
+    """A ring with one owner for all stores."""
 
     def owner(self, store):
         """Returns the owner."""
         return ("10.0.0.9", 7000)
 
 
-class _Questions:
-    """Answers by a table of words."""
+class _PendingQueries:
+    """Answers queries from a table of statuses."""
 
-    def __init__(self, words):
-        self.words = words
+    def __init__(self, statuses):
+        self.statuses = statuses
         self.asked = []
 
     async def ask(self, owners):
-        """Returns the answer of the only owner."""
+        """Returns the reply of the only owner."""
         (message,) = [make(1) for make in owners.values()]
         assert isinstance(message, PartQuery)
         self.asked.append([row.store for row in message.parts])
         states = tuple(
-            PartState(row.store, row.salt, row.part.name, word, 5)
+            PartState(row.store, row.cache_namespace, row.part.name, status, 5)
             for row in message.parts
-            if (word := self.words.get(row.store))
+            if (status := self.statuses.get(row.store))
         )
         return [PartReply(1, states)]
 
 
-class ChoicesTest(TestCase):
-    """Which store a part is looked for in, and kept in."""
+class PartQueryClientTest(TestCase):
+    """Which store a part is fetched from or saved to."""
 
-    def asker(self, words):
-        """Returns an asker over three stores, first choice first, and more."""
+    def client(self, statuses):
+        """Returns a client for three stores, their ranking and its doubles."""
         stores = StoreMap()
         stores.configure(
             {
@@ -235,34 +239,37 @@
                 for name in ("x", "y", "z")
             }
         )
-        order = stores.order(("s", "p"))
-        by_name = dict(zip(order, words, strict=True))
-        questions = _Questions(by_name)
-        told = []
-        asker = PartQueryClient(
-            _Book(), stores, questions, lambda save, owner: told.append(save)
+        ranking = stores.ranking(("s", "p"))
+        by_name = dict(zip(ranking, statuses, strict=True))
+        pending_queries = _PendingQueries(by_name)
+        sent = []
+        client = PartQueryClient(
+            _Owners(),
+            stores,
+            pending_queries,
+            lambda save, owner: sent.append(save),
         )
-        return asker, order, questions, told
+        return client, ranking, pending_queries, sent
 
-    def found(self, *words):
-        """Returns which choice is taken, its word, and how many were asked."""
-        asker, order, questions, _ = self.asker(words)
-        work = asker.ask(["s"], [Part("p", 10)])
+    def found(self, *statuses):
+        """Returns the chosen store's rank and status, and the query count."""
+        client, ranking, pending_queries, _ = self.client(statuses)
+        work = client.ask(["s"], [Part("p", 10)])
         try:
             work.send(None)
         except StopIteration as done:
             (stored,) = done.value.values()
-        place = order.index(stored.store)
-        return place, stored.word, len(questions.asked)
+        choice = ranking.index(stored.store)
+        return choice, stored.status, len(pending_queries.asked)
 
-    def test_the_next_choice_is_asked_while_one_can_do_nothing(self):
+    def test_the_next_store_is_queried_until_one_is_usable(self):
         held, room, full, closed, saving, unheard = (
             PartStatus.HELD,
             PartStatus.ROOM,
             PartStatus.FULL,
-            PartStatus.CLOSED,
+            PartStatus.NOT_WRITABLE,
             PartStatus.SAVING,
-            PartStatus.UNHEARD,
+            PartStatus.NO_CONTACT,
         )
         cases = (
             ((held, held, held), (0, held, 1)),
@@ -273,12 +280,14 @@
             ((None, full, room), (2, room, 3)),
             ((unheard, full, closed), (0, unheard, 3)),
         )
-        for words, expected in cases:
-            self.assertEqual(expected, self.found(*words), words)
+        for statuses, expected in cases:
+            self.assertEqual(expected, self.found(*statuses), statuses)
 
-    def test_a_save_is_told_to_the_home(self):
-        asker, order, _, told = self.asker((None, None, None))
-        asker.save("i-1", "s", [(Part("p", 10), order[0])])
-        (save,) = told
+    def test_a_save_is_reported_to_the_owner(self):
+        client, ranking, _, sent = self.client((None, None, None))
+        client.save("i-1", "s", [(Part("p", 10), ranking[0])])
+        (save,) = sent
         self.assertIsInstance(save, SaveNotice)
-        self.assertEqual(("i-1", order[0]), (save.reader, save.parts[0].store))
+        self.assertEqual(
+            ("i-1", ranking[0]), (save.reader, save.parts[0].store)
+        )
--- a/tests/promises/test_cache.py
+++ b/tests/promises/test_cache.py
@@ -11,7 +11,7 @@
     BYTES_PER_TOKEN,
     block_digest,
 )
-from magnolialug.policy.stored import BlockMeta, Tier
+from magnolialug.policy.storedblock import BlockMeta, Tier
 from magnolialug.result import Executed
 from tests.harness import Cluster
 
--- a/tests/soak/sabotaged.py
+++ b/tests/soak/sabotaged.py
@@ -44,7 +44,7 @@
 
 def forget():
     """Takes no note of endpoints that end."""
-    Quarantine.lost = lambda *_: None
+    Quarantine.record_loss = lambda *_: None
 
 
 def stay():
