--- a/magnolialug/cmd/entry.py
+++ b/magnolialug/cmd/entry.py
@@ -17,7 +17,7 @@
 )
 from magnolialug.config.current import Current
 from magnolialug.entry.app import EntryApp
-from magnolialug.entry.confwatch import ConfigWatch
+from magnolialug.entry.configwatch import ConfigWatch
 from magnolialug.entry.intake import make_site
 from magnolialug.entry.web import EntryResource
 from magnolialug.events import name_process, setup_logging
--- a/magnolialug/entry/confwatch.py
+++ b/magnolialug/entry/configwatch.py
@@ -1,4 +1,4 @@
-"""The task that keeps an entry's configuration new."""
+"""Keeps an entry's configuration up to date."""
 
 from collections.abc import Callable
 from random import Random
@@ -14,25 +14,27 @@
 
 __all__ = ["ConfigWatch"]
 
-_STEP_S = 1.0
-_RENEW_S = LEASE_S / 3
-_MARGIN_S = 1.0
-# A watch whose answer is lost cannot be told from a quiet one. Well within the
-# bound for a configuration, 5 s, with the beat that passes it on.
-_READ_S = 2.0
+_TICK_INTERVAL_S = 1.0
+_RENEWAL_INTERVAL_S = LEASE_S / 3
+_LEASE_MARGIN_S = 1.0
+# A watch whose answer was lost cannot be distinguished from one without
+# changes, so the head key is also read this often. A new configuration must be
+# applied within 5 s, including the heartbeat that passes it on.
+_READ_INTERVAL_S = 2.0
 
 
 class ConfigWatch:
     """Watches the head key while it holds one of a few leased slots.
 
-    A watch can go silent for good, so a holder also reads the head every other
-    second. The lease is judged on our own monotonic clock from before the call
-    that renewed it, less a margin: a process that was paused finds its lease
-    over before anybody else can think so.
+    A watch can stop reporting without an error, so a slot's holder also reads
+    the head every two seconds. The end of the lease is computed on the local
+    monotonic clock, from before the call that renewed it and less a margin. A
+    process that was suspended thus treats its lease as expired before any
+    other process can acquire the slot.
 
     Args:
-      name: this entry's.
-      wall: wall-clock seconds, for the beat.
+      name: the name of this entry.
+      wall: returns wall-clock seconds, for the heartbeat.
     """
 
     def __init__(
@@ -52,7 +54,7 @@
         self._wall = wall
         self._watching = Watching()
         self._lease = 0
-        self._until = 0.0
+        self._valid_until = 0.0
         self._renewed = 0.0
         self._read_at = 0.0
         self._stop_watch: Callable[[], None] | None = None
@@ -61,41 +63,41 @@
 
     @property
     def holds(self) -> bool:
-        """Whether this entry is one of the watchers."""
-        return self._clock.seconds() < self._until
+        """Whether this entry holds a slot."""
+        return self._clock.seconds() < self._valid_until
 
     def start(self) -> None:
-        """Begins; tries for a slot at once."""
+        """Starts, and tries to acquire a slot at once."""
         self._spawn(self._try_slots())
-        self._timer = self._clock.callLater(_STEP_S, self._step)
+        self._timer = self._clock.callLater(_TICK_INTERVAL_S, self._step)
 
     def stop(self) -> None:
-        """Ends the watch; the lease runs out by itself."""
+        """Stops the watch; the lease is left to expire."""
         if self._timer and self._timer.active():
             self._timer.cancel()
-        self._drop()
+        self._stop_watching()
 
     def _step(self) -> None:
-        self._timer = self._clock.callLater(_STEP_S, self._step)
+        self._timer = self._clock.callLater(_TICK_INTERVAL_S, self._step)
         now = self._clock.seconds()
         if self._busy:
             return
         if self.holds:
-            if now - self._renewed >= _RENEW_S:
+            if now - self._renewed >= _RENEWAL_INTERVAL_S:
                 self._spawn(self._renew())
-            elif now - self._read_at >= _READ_S:
+            elif now - self._read_at >= _READ_INTERVAL_S:
                 self._spawn(self._read())
             return
-        self._drop()
+        self._stop_watching()
         beat = self._current.beat
         if should_try(self._watching, beat, now, self._random):
             self._spawn(self._try_slots())
 
     def _spawn(self, work) -> None:
         self._busy = True
-        ensureDeferred(work).addBoth(self._idle)
+        ensureDeferred(work).addBoth(self._clear_busy)
 
-    def _idle(self, result):
+    def _clear_busy(self, result):
         self._busy = False
         return result
 
@@ -113,7 +115,7 @@
                 return
             if swap.won:
                 self._lease = lease
-                self._took(asked)
+                self._record_renewal(asked)
                 await self._read()
                 self._watch()
                 return
@@ -125,13 +127,13 @@
         if isinstance(left, Failure):
             return
         if left <= 0:
-            self._until = 0.0
+            self._valid_until = 0.0
             return
-        self._took(asked)
+        self._record_renewal(asked)
 
-    def _took(self, asked: float) -> None:
+    def _record_renewal(self, asked: float) -> None:
         self._renewed = asked
-        self._until = asked + LEASE_S - _MARGIN_S
+        self._valid_until = asked + LEASE_S - _LEASE_MARGIN_S
         self._current.heard(self._wall())
 
     async def _read(self) -> None:
@@ -140,9 +142,9 @@
         if isinstance(head, Failure):
             return
         self._current.heard(self._wall())
-        await self._take(head)
+        await self._apply_newer(head)
 
-    async def _take(self, head) -> None:
+    async def _apply_newer(self, head) -> None:
         if head.version <= self._current.version:
             return
         doc = await read_doc(self._kv, head.changes[0])
@@ -150,26 +152,26 @@
             self._current.offer(doc)
 
     def _watch(self) -> None:
-        self._drop()
+        self._stop_watching()
         self._stop_watch = self._kv.watch(
             HEAD_KEY, 0, self._changed, self._ended
         )
 
     def _changed(self, entry: KvEntry) -> None:
         self._current.heard(self._wall())
-        ensureDeferred(self._take(head_of(entry)))
+        ensureDeferred(self._apply_newer(head_of(entry)))
 
     def _ended(self, failure: Failure) -> None:
         self._stop_watch = None
         self._read_at = 0.0
         if self.holds:
-            self._clock.callLater(_STEP_S, self._watch_again)
+            self._clock.callLater(_TICK_INTERVAL_S, self._watch_again)
 
     def _watch_again(self) -> None:
         if self.holds and self._stop_watch is None:
             self._watch()
 
-    def _drop(self) -> None:
+    def _stop_watching(self) -> None:
         stop, self._stop_watch = self._stop_watch, None
         if stop:
             stop()
--- a/magnolialug/entry/entrybook.py
+++ b/magnolialug/entry/entrymembership.py
@@ -1,4 +1,4 @@
-"""The other entries, and this one's own registration among them."""
+"""Registers this entry in the key-value service and follows the others."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -15,24 +15,25 @@
 from magnolialug.result import Code, Failure, failed
 from magnolialug.watchsubscriber import WatchSubscriber
 
-__all__ = ["ENTRIES_PREFIX", "EntryBook", "EntryRow"]
+__all__ = ["ENTRIES_PREFIX", "EntryMembership", "EntryRegistration"]
 
 ENTRIES_PREFIX = "magnolialug/entries/"
-# A dead entry is known to be gone this much later.
-_TTL_S = 15.0
+# The registration of a dead entry is removed after this time.
+_LEASE_TTL_S = 15.0
 _RENEWAL_INTERVAL_S = 3.0
-# After an outage all entries renew within this time, so that their calls do
-# not come at the same moment.
+# After an outage each entry renews at a random time within this span, so that
+# the calls of all entries do not arrive at the same moment.
 _RENEWAL_SPREAD_S = 0.5
 _RETRY_S = 0.3
 _RETRY_LIMIT_S = 2.0
 
 
-class EntryRow(msgspec.Struct, frozen=True):
+class EntryRegistration(msgspec.Struct, frozen=True):
     """An entry's registration.
 
     Attributes:
-      cores: processors that it has; a larger one takes more for the others.
+      cores: processors of the entry; an entry with more of them owns more
+        tasks.
     """
 
     host: str
@@ -41,21 +42,21 @@
     cores: float = 1.0
 
 
-class EntryBook(WatchSubscriber):
-    """Registers this entry under a lease and knows the others.
+class EntryMembership(WatchSubscriber):
+    """Registers this entry under a lease and tracks the other entries.
 
     Args:
       vm: the name of this machine.
-      on_change: is told of the entries that own tasks, with the cores of
-        each, and of those that shares are divided by, when there are others
-        than before.
+      on_change: called when the set of entries has changed. Receives the
+        entries that own tasks, with the cores of each, and the entries among
+        which shares are divided.
     """
 
     def __init__(
         self,
         kv: Kv,
         vm: str,
-        row: EntryRow,
+        row: EntryRegistration,
         clock: IReactorTime,
         random: Random,
         on_change: Callable[[dict[Address, float], set[Address]], None],
@@ -66,21 +67,23 @@
         self._clock = clock
         self._random = random
         self._on_change = on_change
-        self._registrations: Registrations[EntryRow] = Registrations()
-        self._told: tuple[dict[Address, float], set[Address]] | None = None
+        self._registrations: Registrations[EntryRegistration] = Registrations()
+        self._last_reported: (
+            tuple[dict[Address, float], set[Address]] | None
+        ) = None
         self._task: Deferred | None = None
         self._pause: IDelayedCall | None = None
         self._lease = 0
-        self._uncounted = False
+        self._has_changes = False
         self._recount_at = float("inf")
 
     def start(self) -> None:
-        """Begins to register this entry."""
+        """Starts to register this entry."""
         self._task = ensureDeferred(self._run())
         self._task.addErrback(lambda reason: reason.trap(CancelledError))
 
     async def stop(self) -> None:
-        """Takes this entry out."""
+        """Removes this entry's registration."""
         task, self._task = self._task, None
         if task is not None:
             task.cancel()
@@ -89,18 +92,18 @@
             await self._kv.revoke(lease)
 
     def snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Takes all entries as they are now."""
+        """Replaces all registrations by those in the service."""
         rows = {
             entry.key: row
             for entry in entries
             if (row := self._read(entry)) is not None
         }
         self._registrations.replace(rows, self._clock.seconds())
-        self._count()
+        self._report_members()
 
     def changed(self, entry: KvEntry) -> None:
-        """Takes one change."""
-        self._uncounted = True
+        """Applies one written or removed registration."""
+        self._has_changes = True
         row = self._read(entry) if entry.value is not None else None
         if row is not None:
             self._registrations.put(entry.key, row)
@@ -108,12 +111,12 @@
             self._registrations.remove(entry.key, self._clock.seconds())
 
     def settled(self) -> None:
-        """Learns that all changes that came together have been told."""
-        if self._uncounted:
-            self._count()
+        """Reports the entries after a batch of changes."""
+        if self._has_changes:
+            self._report_members()
 
     def back(self, away_s: float) -> None:
-        """Renews this entry's registration, which may have lapsed."""
+        """Renews this entry's registration, which may have expired."""
         pause = self._pause
         if pause is not None and pause.active():
             latest_s = pause.getTime() - self._clock.seconds()
@@ -121,21 +124,21 @@
             pause.reset(max(0.0, min(latest_s, soon_s)))
 
     def tick(self) -> None:
-        """Stops counting entries that have been missing for long."""
+        """Drops entries whose registrations have been missing for long."""
         if self._clock.seconds() >= self._recount_at:
-            self._count()
+            self._report_members()
 
-    def _count(self) -> None:
-        """Tells of the entries if there are others than before."""
-        self._uncounted = False
+    def _report_members(self) -> None:
+        """Calls on_change if the entries differ from those last reported."""
+        self._has_changes = False
         now = self._clock.seconds()
         self._registrations.expire(now)
         self._recount_at = self._registrations.next_change_at(now)
         members = self._with_own(self._registrations.members(now))
         sharing = set(self._with_own(self._registrations.sharing(now)))
-        if (members, sharing) == self._told:
+        if (members, sharing) == self._last_reported:
             return
-        self._told = (members, sharing)
+        self._last_reported = (members, sharing)
         emit(
             Event.ENTRIES_COUNTED,
             sharing=len(sharing),
@@ -144,16 +147,18 @@
         )
         self._on_change(members, sharing)
 
-    def _with_own(self, rows: dict[str, EntryRow]) -> dict[Address, float]:
-        """Returns the cores of entries by their addresses, with this one's."""
+    def _with_own(
+        self, rows: dict[str, EntryRegistration]
+    ) -> dict[Address, float]:
+        """Returns the cores of each entry by address, this entry included."""
         rows = {**rows, self._key: self._row}
         return {(row.host, row.port): row.cores for row in rows.values()}
 
-    def _read(self, entry: KvEntry) -> EntryRow | None:
+    def _read(self, entry: KvEntry) -> EntryRegistration | None:
         if not entry.key.startswith(ENTRIES_PREFIX):
             return None
         try:
-            return msgspec.json.decode(entry.value, type=EntryRow)
+            return msgspec.json.decode(entry.value, type=EntryRegistration)
         except msgspec.MsgspecError as exc:
             bad = failed(Code.BAD_ENTRY, str(exc), entry.key)
             emit(Event.ENTRY_REFUSED, key=entry.key, **explain(bad))
@@ -165,13 +170,13 @@
             failure = await self._register()
             if failure is None:
                 backoff = Backoff(_RETRY_S, _RETRY_LIMIT_S)
-                await self._keep()
+                await self._renew_lease()
             else:
                 emit(Event.REGISTRATION_FAILED, **explain(failure))
                 await self._wait(backoff.next(self._random))
 
     async def _register(self) -> Failure | None:
-        lease = await self._kv.grant(_TTL_S)
+        lease = await self._kv.grant(_LEASE_TTL_S)
         if isinstance(lease, Failure):
             return lease
         value = msgspec.json.encode(self._row)
@@ -182,12 +187,12 @@
         if isinstance(swap, Failure):
             return swap
         if not swap.won:
-            return failed(Code.KV_ERROR, "an earlier start wrote at once")
+            return failed(Code.KV_ERROR, "another start wrote the key first")
         self._lease = lease
         return None
 
-    async def _keep(self) -> None:
-        """Renews the lease until it has run out."""
+    async def _renew_lease(self) -> None:
+        """Renews the lease until it expires."""
         backoff = Backoff(_RETRY_S, _RETRY_LIMIT_S)
         pause_s = _RENEWAL_INTERVAL_S
         while True:
@@ -202,7 +207,7 @@
             pause_s = _RENEWAL_INTERVAL_S
 
     async def _wait(self, seconds: float) -> None:
-        """Waits, but not beyond the return of the service."""
+        """Waits, at most until shortly after the service answers again."""
         fut: Deferred[None] = Deferred()
         self._pause = self._clock.callLater(seconds, fut.callback, None)
         try:
--- a/magnolialug/entry/evacuations.py
+++ b/magnolialug/entry/evacuations.py
@@ -14,22 +14,24 @@
 
 
 class Evacuations(WatchSubscriber):
-    """Keeps the set of evacuated zones.
+    """Tracks the set of evacuated zones.
 
-    While the key-value service is away the last known set stays in force. A
-    snapshot replaces it, so an order that was taken back meanwhile ends. What
-    another entry knows as of a later revision goes first until this one has
-    read as far: an entry that is cut off would send to endpoints that may have
-    turned cold, or are about to stop.
+    While the key-value service does not answer, the last known set stays in
+    effect. A snapshot replaces it, which ends an evacuation that was withdrawn
+    during the outage. A set that another entry reports with a later revision
+    takes precedence until this entry has read up to that revision. Otherwise an
+    entry that cannot reach the service would send requests to endpoints that
+    may have turned cold or are about to stop.
 
     Attributes:
-      known: the evacuated zones in force here.
-      known_at: when they changed last, in seconds.
+      current: the evacuated zones that this entry applies.
+      changed_at: when they last changed, in seconds.
 
     Args:
-      zones: the names of the zones that exist.
+      zones: the names of all zones.
       on_change: receives the evacuated zones whenever they change.
-      revision: returns how far this entry has read the key-value service.
+      revision: returns the revision of the key-value service up to which this
+        entry has read.
       clock: returns the time in seconds.
     """
 
@@ -40,41 +42,43 @@
         revision: Callable[[], int],
         clock: Callable[[], float],
     ):
-        self.known = EvacuatedZones()
-        self.known_at = float("-inf")
-        self._own: frozenset[ZoneId] = frozenset()
-        self._heard = EvacuatedZones()
+        self.current = EvacuatedZones()
+        self.changed_at = float("-inf")
+        self._from_service: frozenset[ZoneId] = frozenset()
+        self._from_peer = EvacuatedZones()
         self._known_zones = zones
         self._on_change = on_change
         self._revision = revision
         self._clock = clock
 
     def snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Takes all orders as they are now."""
+        """Replaces all evacuations by those in the service."""
         found = [self._read(entry) for entry in entries]
-        self._own = frozenset(zone for zone in found if zone is not None)
-        self._heard = EvacuatedZones()
+        self._from_service = frozenset(
+            zone for zone in found if zone is not None
+        )
+        self._from_peer = EvacuatedZones()
         self._apply()
 
     def changed(self, entry: KvEntry) -> None:
-        """Takes one order, or that it has been taken back."""
+        """Applies one evacuation, or its withdrawal."""
         if entry.value is None:
             zone = ZoneId(entry.key.removeprefix(EVACUATION_PREFIX))
-            self._own -= {zone}
+            self._from_service -= {zone}
         elif (zone := self._read(entry)) is not None:
-            self._own |= {zone}
-        # One by one: endpoints of a zone that was evacuated and taken back
-        # between two watches have turned cold all the same.
+            self._from_service |= {zone}
+        # Each change is applied by itself: if a zone is evacuated and restored
+        # between two watches, its endpoints have still turned cold.
         self._apply()
 
     def settled(self) -> None:
-        """Learns that all changes that came together have been told."""
+        """Chooses the current set again after a batch of changes."""
         self._apply()
 
-    def hear(self, evacuated: EvacuatedZones) -> None:
-        """Takes evacuated zones that another entry knows."""
-        if evacuated.revision > self._heard.revision:
-            self._heard = evacuated
+    def update_from_peer(self, evacuated: EvacuatedZones) -> None:
+        """Applies evacuated zones that another entry has reported."""
+        if evacuated.revision > self._from_peer.revision:
+            self._from_peer = evacuated
             self._apply()
 
     def _read(self, entry: KvEntry) -> ZoneId | None:
@@ -85,19 +89,22 @@
         return zone
 
     def _apply(self) -> None:
-        """Puts the set of the latest revision in force."""
+        """Makes the set with the latest revision the current one."""
         read_to = self._revision()
-        if self._heard.revision > read_to:
-            zones, revision = frozenset(self._heard.zones), self._heard.revision
+        if self._from_peer.revision > read_to:
+            zones, revision = (
+                frozenset(self._from_peer.zones),
+                self._from_peer.revision,
+            )
         else:
-            zones, revision = self._own, read_to
-        before = frozenset(self.known.zones)
+            zones, revision = self._from_service, read_to
+        before = frozenset(self.current.zones)
         if zones == before:
             return
         for zone in sorted(zones - before):
             emit(Event.ZONE_EVACUATED, zone=zone, revision=revision)
         for zone in sorted(before - zones):
             emit(Event.ZONE_RETURNED, zone=zone, revision=revision)
-        self.known = EvacuatedZones(tuple(sorted(zones)), revision)
-        self.known_at = self._clock()
+        self.current = EvacuatedZones(tuple(sorted(zones)), revision)
+        self.changed_at = self._clock()
         self._on_change(zones)
--- a/magnolialug/entry/gateway.py
+++ b/magnolialug/entry/gateway.py
@@ -14,7 +14,11 @@
 from magnolialug.entry.costs import Costs
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.dispatcher import Dispatcher
-from magnolialug.entry.entrybook import ENTRIES_PREFIX, EntryBook, EntryRow
+from magnolialug.entry.entrymembership import (
+    ENTRIES_PREFIX,
+    EntryMembership,
+    EntryRegistration,
+)
 from magnolialug.entry.evacuations import Evacuations
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.entry.gatewaycall import CallMeans, GatewayCall
@@ -25,12 +29,12 @@
 from magnolialug.entry.gauges import observe_endpoints, observe_states
 from magnolialug.entry.grace import NOTICED_S, Grace
 from magnolialug.entry.httpattempt import HttpAttempt
-from magnolialug.entry.peertalk import PeerTalk
+from magnolialug.entry.peermessenger import PeerMessenger
 from magnolialug.entry.placer import Listeners, Placer
 from magnolialug.entry.registry import Registry
 from magnolialug.entry.rolloutcommands import RolloutCommands
 from magnolialug.entry.rolloutlease import LEADER_KEY, RolloutLease
-from magnolialug.entry.routebook import RouteBook
+from magnolialug.entry.routeconfig import RouteConfig
 from magnolialug.entry.serving import Means
 from magnolialug.entry.silencewatch import SilenceWatch
 from magnolialug.entry.watchclient import WatchClient
@@ -113,7 +117,7 @@
             reactor,
             lambda: metrics.connections_made.add(1),
         )
-        self.routes = RouteBook(self._routed)
+        self.routes = RouteConfig(self._routed)
         self.registry = Registry(self.directory, reactor, settings.heartbeat_s)
         self.factory = GatewayFactory(
             self.handle, self._limits, reactor.seconds, reactor.callLater
@@ -122,7 +126,7 @@
         self._reactor = reactor
         self._entries = self._entry_book(kv, reactor, random)
         me = (settings.host, settings.internal_port)
-        self.talk = PeerTalk(me, reactor)
+        self.talk = PeerMessenger(me, reactor)
         self._evacuations = Evacuations(
             settings.zones,
             self.directory.evacuate,
@@ -294,15 +298,17 @@
     def _over(self) -> None:
         self.in_progress -= 1
 
-    def _entry_book(self, kv: Kv, reactor, random: Random) -> EntryBook:
+    def _entry_book(self, kv: Kv, reactor, random: Random) -> EntryMembership:
         settings = self.settings
-        row = EntryRow(
+        row = EntryRegistration(
             settings.host,
             settings.internal_port,
             settings.zone,
             settings.cores,
         )
-        return EntryBook(kv, settings.vm, row, reactor, random, self._counted)
+        return EntryMembership(
+            kv, settings.vm, row, reactor, random, self._counted
+        )
 
     def _call_means(self, random: Random) -> CallMeans:
         metrics = self.metrics
@@ -356,7 +362,7 @@
                 "order_lease_held": lambda: int(self._lease.held),
                 "entries": lambda: self.directory.entries,
                 "requests_quarantined": lambda: len(self.quarantine.written),
-                "kv_in_touch": lambda: int(self._watch_client.in_touch),
+                "kv_in_touch": lambda: int(self._watch_client.is_connected),
             },
         )
         observe_endpoints(
@@ -383,7 +389,7 @@
         """Takes which engines load weights now, from the lease's holder."""
         self.directory.rolls_out(rollout)
         if own:
-            self.owners.load_reporter.spread(rollout)
+            self.owners.load_reporter.announce_rollout(rollout)
 
     def _newest(self, model: str) -> int:
         """Returns the newest version of a model that is known of.
--- a/magnolialug/entry/peertalk.py
+++ b/magnolialug/entry/peermessenger.py
@@ -1,4 +1,4 @@
-"""Datagrams between entries: one socket, one message each."""
+"""Datagrams between entries, one message in each, over one socket."""
 
 from collections.abc import Callable
 from typing import Any
@@ -29,9 +29,9 @@
     Survived,
 )
 
-__all__ = ["Message", "PeerTalk"]
+__all__ = ["Message", "PeerMessenger"]
 
-_BYTES = 8192
+_MAX_DATAGRAM_BYTES = 8192
 
 Message = (
     LoadQuery
@@ -50,47 +50,49 @@
 )
 
 
-class PeerTalk(DatagramProtocol):
-    """Sends messages to other entries, and takes theirs.
+class PeerMessenger(DatagramProtocol):
+    """Sends messages to other entries and dispatches received ones.
 
-    Datagrams get lost and overtake each other, and nothing is repeated here:
-    who sends sees to it that a lost message is made good by a later one.
+    Datagrams can be lost or reordered, and this class does not retransmit. The
+    sender of a message must make up for its loss by a later one.
 
     Args:
-      me: this entry's own address; what is sent there takes no socket.
+      me: this entry's own address; messages to it do not use the socket.
     """
 
     def __init__(self, me: Address, clock: IReactorTime):
         self._me = me
         self._clock = clock
-        self._takers: dict[type, Callable[[Any, Address], None]] = {}
+        self._handlers: dict[type, Callable[[Any, Address], None]] = {}
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(Message).decode
 
     @property
     def open(self) -> bool:
-        """Whether there is a socket."""
+        """Whether the socket is open."""
         return self.transport is not None
 
-    def takes(self, form: type, take: Callable[[Any, Address], None]) -> None:
-        """Names who takes messages of a type, and from whom they come."""
-        self._takers[form] = take
+    def register_handler(
+        self, message_type: type, handler: Callable[[Any, Address], None]
+    ) -> None:
+        """Sets the handler of a message type; it also receives the sender."""
+        self._handlers[message_type] = handler
 
     def send(self, message: Message, to: Address) -> None:
-        """Sends a message to one entry."""
+        """Sends a message to one entry; drops it if the socket is not open."""
         if to == self._me:
-            take = self._takers[type(message)]
-            self._clock.callLater(0, take, message, to)
+            handler = self._handlers[type(message)]
+            self._clock.callLater(0, handler, message, to)
         elif self.open:
             self.transport.write(self._encode(message), to)
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
-        """Takes another entry's message."""
-        if len(data) > _BYTES:
+        """Passes a message to its handler; drops one too long or malformed."""
+        if len(data) > _MAX_DATAGRAM_BYTES:
             return
         try:
             message = self._decode(data)
         except msgspec.MsgspecError as exc:
             emit(Event.REPORT_REFUSED, peer=addr[0], reason=str(exc))
             return
-        self._takers[type(message)](message, addr)
+        self._handlers[type(message)](message, addr)
--- a/magnolialug/entry/rolloutcommands.py
+++ b/magnolialug/entry/rolloutcommands.py
@@ -1,4 +1,4 @@
-"""Brings every engine to the weights that the operator has named."""
+"""Commands every engine to load the weights that the operator has named."""
 
 from collections.abc import Callable
 
@@ -16,67 +16,69 @@
 
 __all__ = ["RolloutCommands"]
 
-# Between calls to an engine that is about to take weights or takes them. Its
-# registry entry would tell a heartbeat, 1.2 s, later that it is done.
-_ASK_S = 0.1
-# Engines take longer than this to load, and each call costs.
-_LOADING_S = 0.5
-# An accepted command shows in the engine's reports this much later at most;
-# they are some hundred milliseconds old. A count of commands that is lower
-# after that means that the engine has started anew and forgotten the command.
+# Time between polls of an engine that loads weights or is about to. Its
+# registry entry would show the end of the load a heartbeat, 1.2 s, later.
+_POLL_INTERVAL_S = 0.1
+# Time from an accepted command to the next poll. Engines take longer than this
+# to load, and each call has a cost.
+_POLL_DELAY_AFTER_ACCEPT_S = 0.5
+# An accepted command appears in the engine's reports within this time; reports
+# are some hundred milliseconds old. If the count of commands is still lower
+# after it, the engine has restarted and lost the command.
 _REPORT_LAG_S = 1.0
-# An engine that has accepted a command has the weights by then, or never will:
-# some take twice the usual time while many load.
-_TAKES_S = 4.0
-# Between the announcement and the command, what waits in an engine's queue can
-# start; what has not started by then is turned away.
-_CLOSED_S = 0.12
-# An engine that does not answer so often makes room for the next one.
-_FAILURES = 2
-# Runs go on while the engine loads, and most of them end before it is done.
-# Waiting for them first would take several times as long, and resetting them
-# would lose their answers.
-_MODE = "retain"
+# An engine that has accepted a command has loaded the weights within this time
+# or will not load them. Some take twice the usual time while many load.
+_LOAD_TIMEOUT_S = 4.0
+# Time from the announcement to the command, in which requests in the engine's
+# queue can start. The engine rejects those that have not started by then.
+_CLOSE_DELAY_S = 0.12
+# An engine with more consecutive unanswered calls than this gives its slot to
+# the next one.
+_MAX_CALL_FAILURES = 2
+# Running requests continue while the engine loads, and most of them end before
+# the load does. Waiting for them first would take several times as long, and
+# resetting them would lose their answers.
+_RUNNING_REQUESTS_MODE = "retain"
 
 
 class _Engine(msgspec.Struct):
-    """What is known of one engine's commands.
+    """State of one engine in the rollout.
 
     Attributes:
-      accepted: how many it has accepted at least.
-      accepted_at: when it last accepted one.
-      calling: whether a call to it is under way.
-      quiet_until: no call to it before then.
+      accepted: the least number of commands that it has accepted.
+      accepted_at: when it last accepted a command.
+      calling: whether a call to it is in progress.
+      next_call_at: earliest time of the next call to it.
       closed_at: when all entries knew to send it no new work.
-      failures: calls in a row that it did not answer.
-      version: that it is to take.
-      promised: the version that it was last commanded to take.
-      chosen: the version that it is closed for, 0 for none.
-      born_ms: the start of the engine that all this is known of.
+      failures: consecutive calls that it did not answer.
+      version: the version that it should load.
+      last_commanded: the version that it was last commanded to load.
+      closed_for: the version that it is closed for, 0 for none.
+      born_ms: the start of the engine to which this state applies.
     """
 
     accepted: int = 0
     accepted_at: float = float("-inf")
     calling: bool = False
-    quiet_until: float = 0.0
+    next_call_at: float = 0.0
     closed_at: float | None = None
     failures: int = 0
     version: int = 0
-    promised: int = 0
-    chosen: int = 0
+    last_commanded: int = 0
+    closed_for: int = 0
     born_ms: int = 0
 
-    def loads(self, weights: int, version: int, now: float) -> bool:
-        """Whether it takes another version than the one that is wanted.
+    def is_loading_older(self, weights: int, version: int, now: float) -> bool:
+        """Whether it is loading a version older than the wanted one.
 
-        One would notice prompts turned away by the hundred when a version is
-        named while engines load the one before: they would look open.
+        Without this check an engine that loads one version would look open when
+        the next is named, and would reject hundreds of prompts.
         """
-        accepted = now - self.accepted_at < _TAKES_S
-        return accepted and weights < self.promised < version
+        accepted = now - self.accepted_at < _LOAD_TIMEOUT_S
+        return accepted and weights < self.last_commanded < version
 
-    def tells(self, report: Report, now: float) -> bool:
-        """Whether a report is from after the last accepted command."""
+    def is_reflected_in(self, report: Report, now: float) -> bool:
+        """Whether a report is newer than the last accepted command."""
         lagging = now - self.accepted_at < _REPORT_LAG_S
         return report.orders >= self.accepted or not lagging
 
@@ -85,9 +87,9 @@
     """Commands engines to load weights while this process holds the lease.
 
     Args:
-      named: returns the newest version that was named, by model.
-      counted: receives the reply to each command.
-      heard: receives engines whose weights were learned of.
+      named_versions: returns the newest named version by model.
+      on_reply: receives the reply to each command.
+      on_weights: receives each engine that is found to have a newer version.
     """
 
     def __init__(
@@ -96,30 +98,30 @@
         lease: RolloutLease,
         calls: EngineCalls,
         clock: Callable[[], float],
-        named: Callable[[], dict[str, int]],
-        counted: Callable[[OrderReply], None] = lambda reply: None,
-        heard: Callable[[EndpointId], None] = lambda endpoint: None,
+        named_versions: Callable[[], dict[str, int]],
+        on_reply: Callable[[OrderReply], None] = lambda reply: None,
+        on_weights: Callable[[EndpointId], None] = lambda endpoint: None,
     ):
         self._directory = directory
         self._lease = lease
         self._calls = calls
         self._clock = clock
-        self._named = named
-        self._counted = counted
-        self._on_heard = heard
+        self._named_versions = named_versions
+        self._on_reply = on_reply
+        self._on_weights = on_weights
         self._engines: dict[EndpointId, _Engine] = {}
 
     def tick(self) -> None:
-        """Looks for engines that need a command or a query."""
+        """Polls or commands the engines that have outdated weights."""
         if not self._lease.held:
             return
-        for model, version in self._named().items():
+        for model, version in self._named_versions().items():
             if self._outdated(model, version):
-                self._bring(model, version)
+                self._advance_rollout(model, version)
                 return
-        self._finish()
+        self._announce_done()
 
-    def _finish(self) -> None:
+    def _announce_done(self) -> None:
         """Announces that all engines are open again."""
         announced = self._lease.announced
         if announced is not None and announced.closed:
@@ -134,32 +136,32 @@
         peers = self._directory.engines_with(model)
         return [p for p in peers if p.weights(model) < version]
 
-    def _bring(self, model: str, version: int) -> None:
-        """Closes the next engines, and commands those closed long enough."""
+    def _advance_rollout(self, model: str, version: int) -> None:
+        """Closes the next engines and commands those closed for long enough."""
         now = self._clock()
         peers = self._directory.engines_with(model)
         rows = [self._row(p, model, version, now) for p in peers]
         rollout = plan(model, version, rows, self._directory.rollout)
         for row in rows:
             if row.endpoint in rollout.closed and not row.loading:
-                self._engines[row.endpoint].chosen = version
+                self._engines[row.endpoint].closed_for = version
         if rollout != self._lease.announced:
             self._lease.announce(rollout)
             return
         for peer in self._outdated(model, version):
             endpoint = peer.listed.endpoint
             if endpoint in rollout.closed and self._lease.may_command(endpoint):
-                self._advance(peer, model, version, now)
+                self._advance_engine(peer, model, version, now)
 
-    def _advance(
+    def _advance_engine(
         self, peer: Peer, model: str, version: int, now: float
     ) -> None:
         state = self._state(peer)
-        if state.calling or now < state.quiet_until:
+        if state.calling or now < state.next_call_at:
             return
         if state.closed_at is None:
             state.closed_at = now
-        if now - state.closed_at >= _CLOSED_S:
+        if now - state.closed_at >= _CLOSE_DELAY_S:
             state.calling = True
             ensureDeferred(self._step(peer, model, version))
 
@@ -174,12 +176,12 @@
             running=peer.running,
             current=peer.weights(model) >= version,
             closed=announced is not None
-            and announced.version == version == state.chosen
+            and announced.version == version == state.closed_for
             and peer.listed.endpoint in announced.closed,
-            failing=state.failures > _FAILURES,
-            version=max(peer.weights(model), state.promised),
+            failing=state.failures > _MAX_CALL_FAILURES,
+            version=max(peer.weights(model), state.last_commanded),
             barred=self._lease.is_possibly_commanded(peer.listed.endpoint),
-            loading=state.loads(peer.weights(model), version, now),
+            loading=state.is_loading_older(peer.weights(model), version, now),
         )
 
     def _state(self, peer: Peer) -> _Engine:
@@ -191,40 +193,40 @@
         return state
 
     async def _step(self, peer: Peer, model: str, version: int) -> None:
-        """Asks an engine how far it is, and commands it if it does nothing.
+        """Polls an engine for its state, and commands it if it is idle.
 
-        A command that had no answer, or was refused because the engine had
-        accepted another, is thus sent again within a quarter of a second, and
-        one that the engine forgot in a restart too. It can be carried out only
-        once, since it names how many the engine must have accepted before.
-        Waiting for a command to be given up would keep the engine's place among
-        the few that may load at a time.
+        A command is thus sent again within a quarter of a second if it had no
+        answer, if it was refused because the engine had accepted another, or
+        if the engine lost it in a restart. It is executed at most once, since
+        it names the number of commands that the engine must have accepted
+        before. Waiting for a command to time out would occupy one of the few
+        slots of engines that may load at a time.
         """
         state = self._state(peer)
-        report = await self._ask(peer)
-        pause_s = _ASK_S
+        report = await self._poll(peer)
+        pause_s = _POLL_INTERVAL_S
         if report is not None and self._may_command(
             peer, model, version, report
         ):
             reply = await self._command(peer, model, version, report.orders)
             if reply is OrderReply.ACCEPTED:
-                pause_s = _LOADING_S
+                pause_s = _POLL_DELAY_AFTER_ACCEPT_S
         state.calling = False
-        state.quiet_until = self._clock() + pause_s
+        state.next_call_at = self._clock() + pause_s
 
     def _may_command(
         self, peer: Peer, model: str, version: int, report: Report
     ) -> bool:
         state = self._state(peer)
-        if report.busy or not state.tells(report, self._clock()):
+        if report.busy or not state.is_reflected_in(report, self._clock()):
             return False
         outdated = peer.weights(model) < version
-        if state.chosen != version:
+        if state.closed_for != version:
             return False
         return outdated and self._lease.may_command(peer.listed.endpoint)
 
-    async def _ask(self, peer: Peer) -> Report | None:
-        """Asks for a report and takes in what it says."""
+    async def _poll(self, peer: Peer) -> Report | None:
+        """Requests a report and records its contents; None after a failure."""
         state = self._state(peer)
         report = await self._calls.report(peer.listed)
         if isinstance(report, Failure):
@@ -234,14 +236,14 @@
             return None
         state.failures = 0
         for model, version in report.weights.items():
-            self._heard(peer, model, version)
+            self._record_weights(peer, model, version)
         return report
 
     async def _command(
         self, peer: Peer, model: str, version: int, after_orders: int
     ) -> OrderReply:
         state = self._state(peer)
-        state.promised = version
+        state.last_commanded = version
         self._lease.record_command()
         emit(
             Event.ORDER_GIVEN,
@@ -255,12 +257,12 @@
             peer.listed,
             model,
             version,
-            _MODE,
+            _RUNNING_REQUESTS_MODE,
             self._lease.name,
             self._lease.fence,
             after_orders,
         )
-        self._counted(reply)
+        self._on_reply(reply)
         emit(
             Event.ORDER_ANSWERED,
             endpoint=peer.listed.endpoint,
@@ -272,17 +274,17 @@
             state.accepted = after_orders + 1
             state.accepted_at = self._clock()
         elif reply is OrderReply.HOLDS:
-            self._heard(peer, model, version)
+            self._record_weights(peer, model, version)
         elif reply is OrderReply.FENCED:
-            self._lease.fenced()
+            self._lease.step_down()
         elif reply is OrderReply.MISPLACED:
             self._directory.misplaced(peer)
         return reply
 
-    def _heard(self, peer: Peer, model: str, version: int) -> None:
+    def _record_weights(self, peer: Peer, model: str, version: int) -> None:
         if version > peer.weights(model):
             peer.heard_weights(model, version)
-            self._on_heard(peer.listed.endpoint)
+            self._on_weights(peer.listed.endpoint)
             emit(
                 Event.WEIGHTS_TAKEN,
                 endpoint=peer.listed.endpoint,
--- a/magnolialug/entry/rolloutlease.py
+++ b/magnolialug/entry/rolloutlease.py
@@ -1,4 +1,4 @@
-"""The lease that lets one entry at a time lead the rollout of weights."""
+"""The lease under which one entry at a time leads the rollout of weights."""
 
 import secrets
 from collections.abc import Callable, Sequence
@@ -10,7 +10,7 @@
 
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import EndpointId
-from magnolialug.owners.ownerring import FIRST
+from magnolialug.owners.ownerring import OWNER_CANDIDATES
 from magnolialug.platform.kv import Kv, KvEntry
 from magnolialug.policy.retry import Backoff
 from magnolialug.policy.rollout import Rollout
@@ -21,34 +21,36 @@
 __all__ = ["LEADER_KEY", "Leader", "RolloutLease"]
 
 LEADER_KEY = "magnolialug/orders/holder"
-# The lease is shorter than the bound between two leaders, so that a dead
-# leader is replaced sooner; one that was not sending commands when it died
-# needs no bound at all.
-_TTL_SHARE = 0.67
-_RENEWALS = 4
-# A command sent just before the lease ends needs this long to arrive.
-_MARGIN_S = 0.4
-# When the lease falls free entries try one after another, in the order on
-# which they agree without talking. A try takes two calls, and is known to
-# the others within a third of a second.
-_TRY_EVERY_S = 0.35
-_TRY_WITHIN_S = 0.05
-# Who is not among the first in that order waits for them, all dead or cut off,
-# this long at least and half as long again at most.
-_LATER_S = 1.2
-# Entries that have just started do not yet know of each other.
-_SETTLE_S = 1.0
+# Ratio of the lease's length to the bound between the commands of two leaders.
+# The lease is shorter, so that a dead leader is replaced sooner. The bound does
+# not apply after a leader that was not sending commands when it died.
+_TTL_RATIO = 0.67
+_RENEWALS_PER_TTL = 4
+# Time in which a command sent just before the lease ends must arrive.
+_COMMAND_MARGIN_S = 0.4
+# When the lease becomes free, entries try one after another, in an order that
+# each computes by itself. An attempt takes two calls, and its result is known
+# to the other entries within a third of a second.
+_RANK_DELAY_S = 0.35
+_RANK_JITTER_S = 0.05
+# An entry that is not among the first in that order waits for a random time of
+# 1 to 1.5 times this, in case all of the first are dead or disconnected.
+_UNRANKED_DELAY_S = 1.2
+# Longest delay after a start, because entries that have just started do not yet
+# know each other.
+_STARTUP_DELAY_S = 1.0
 
 
 class Leader(msgspec.Struct, frozen=True):
     """The value of the leader's key.
 
     Attributes:
-      start: names one start of the leader's process.
-      rollout: what it may be sending commands for, None for nothing.
-      possibly_commanded: engines that it or one before it may have commanded
-        within the bound, None for any. Its name in the store stays, because two
-        releases run side by side during a rolling upgrade.
+      vm: the name of the leader's machine.
+      start: identifies one start of the leader's process.
+      rollout: the rollout that it may send commands for, None for none.
+      possibly_commanded: engines that this leader or an earlier one may have
+        commanded within the bound, None for any engine. The stored name stays,
+        because two releases run side by side during a rolling upgrade.
     """
 
     vm: str
@@ -60,29 +62,34 @@
 
 
 class RolloutLease(WatchSubscriber):
-    """Holds or waits for the lease.
-
-    The key that the lease keeps alive names its leader, and the revision at
-    which it was last written is the fencing token: later ones are higher. A
-    leader can be suspended or cut off and still believe in its lease. So it
-    trusts it on a clock that counts suspension, from before the renewal was
-    asked for, and a margin less.
-
-    Commands of two leaders to one engine must not alternate faster than a
-    bound. Before its commands a leader writes which engines they will go
-    to, on condition that the key is still its own. Who takes over leaves
-    those engines alone for the bound, and writes that it does so, for the
-    next leader; all other engines it can command at once, since a further
-    write of the one before will fail. The others read it too, and send no
-    new work to an engine that is about to load.
+    """Holds the lease or waits for it.
+
+    The key attached to the lease names the leader. The revision at which it was
+    last written is the fencing token, which grows from leader to leader. A
+    leader that is suspended or disconnected may not notice that its lease has
+    expired. So it counts the lease from before the renewal was requested, less
+    a margin, on a clock that includes time in suspension.
+
+    There must be at least the bound between commands of two leaders to one
+    engine. Before its commands, a leader writes which engines it will command,
+    on condition that the key is still its own. Its successor sends these
+    engines no command for the bound, and writes this for the leader after it.
+    It can command all other engines at once, since a further write of its
+    predecessor fails. The other entries also read the key, and send no new work
+    to an engine that is about to load.
+
+    Attributes:
+      fence: the fencing token, 0 while this process is not the leader.
+      name: identifies this start of this process.
+      announced: the rollout that this leader has last written, None for none.
 
     Args:
       vm: the name of this machine.
-      bound_s: time that must lie between the commands of two leaders.
-      on_rollout: receives what any leader is about to command, and whether that
-        is this entry.
-      rank: returns this entry's place among the first that try for the
-        lease, FIRST for all others.
+      bound_s: least time between the commands of two leaders to one engine.
+      on_rollout: receives the rollout that any leader is about to command, and
+        whether this entry is the leader.
+      rank: returns this entry's place among the first that try for the lease,
+        OWNER_CANDIDATES for all others.
     """
 
     def __init__(
@@ -102,7 +109,7 @@
         self._clock = clock
         self._random = random
         self._bound_s = bound_s
-        self._ttl_s = bound_s * _TTL_SHARE
+        self._ttl_s = bound_s * _TTL_RATIO
         self._lease = 0
         self.announced: Rollout | None = None
         self._on_rollout = on_rollout
@@ -113,14 +120,14 @@
         self._writing = False
         self._possibly_commanded: tuple[str, ...] | None = ()
         self._written_commanded: tuple[str, ...] | None = ()
-        self._wait_until = 0.0
+        self._inherited_until = 0.0
         self._closed_at: dict[str, float] = {}
-        self._until = 0.0
+        self._valid_until = 0.0
         self._commanded_at = 0.0
         self._task: Deferred | None = None
 
     def snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Takes the key as it is now; who held it before is not known."""
+        """Applies the key's state; the previous leader is then unknown."""
         self._previous = None
         if entries:
             self.changed(entries[-1])
@@ -128,7 +135,7 @@
             self._on_free()
 
     def changed(self, entry: KvEntry) -> None:
-        """Takes what a leader has written, or that the lease is free."""
+        """Applies a value that a leader has written, or the key's removal."""
         if entry.value is None:
             self._on_free()
             return
@@ -147,15 +154,15 @@
             freed.callback(None)
 
     def start(self) -> None:
-        """Begins to wait for the lease."""
+        """Starts to wait for the lease."""
         self._task = ensureDeferred(self._run())
         self._task.addErrback(lambda reason: reason.trap(CancelledError))
 
     async def stop(self) -> None:
-        """Lets another entry take over.
+        """Revokes the lease, so that another entry can become leader.
 
-        It sends no command from here on. One that is under way went to an
-        engine that the next leader leaves alone for the bound.
+        No command is sent after this. The next leader sends no command within
+        the bound to an engine that may still receive one from this leader.
         """
         task, self._task = self._task, None
         if task is not None:
@@ -165,9 +172,9 @@
             await self._kv.revoke(self._lease)
 
     def may_command(self, endpoint: EndpointId) -> bool:
-        """Whether a command may be sent to an engine at this moment."""
+        """Whether a command may be sent to an engine now."""
         is_announced = self.announced is not None and not self._writing
-        in_time = self._clock.seconds() < self._until
+        in_time = self._clock.seconds() < self._valid_until
         return (
             is_announced
             and in_time
@@ -175,8 +182,8 @@
         )
 
     def is_possibly_commanded(self, endpoint: EndpointId) -> bool:
-        """Whether the previous leader may have commanded an engine just now."""
-        if self._clock.seconds() >= self._wait_until:
+        """Whether an earlier leader may have commanded an engine recently."""
+        if self._clock.seconds() >= self._inherited_until:
             return False
         return (
             self._possibly_commanded is None
@@ -193,23 +200,25 @@
         return self.fence > 0 and not self._writing
 
     def announce(self, rollout: Rollout) -> None:
-        """Writes what is about to be commanded; commands may follow it."""
+        """Writes a rollout; its commands may be sent once it is written."""
         if self.held and rollout != self.announced:
             self._writing = True
             ensureDeferred(self._write(rollout))
 
     def announce_end(self) -> None:
-        """Writes that no more commands are sent, once that is long true."""
-        since = max(self._commanded_at, self._wait_until - self._bound_s)
-        quiet = self._clock.seconds() - since > self._bound_s
-        has_news = self.announced is not None or self._written_commanded != ()
-        if self.held and has_news and quiet:
+        """Writes that no commands are sent, if none was sent for the bound."""
+        since = max(self._commanded_at, self._inherited_until - self._bound_s)
+        is_idle = self._clock.seconds() - since > self._bound_s
+        needs_write = (
+            self.announced is not None or self._written_commanded != ()
+        )
+        if self.held and needs_write and is_idle:
             self._writing = True
             ensureDeferred(self._write(None))
 
-    def fenced(self) -> None:
-        """Learns that a higher fencing token has been used."""
-        self._until = 0.0
+    def step_down(self) -> None:
+        """Stops acting as leader, after a lost lease or a higher fence."""
+        self._valid_until = 0.0
         self.fence = 0
         self.announced = None
 
@@ -228,13 +237,13 @@
             self._written_commanded = commanded
             self._notify(rollout)
         elif swap.current is None or not self._is_mine(swap.current):
-            self.fenced()
+            self.step_down()
         else:
             self._record_written(swap.current)
         self._writing = False
 
     async def _read_back(self) -> None:
-        """Finds out what a write without answer has done."""
+        """Reads the key to learn the result of a write without an answer."""
         found = await self._kv.get(LEADER_KEY)
         if isinstance(found, KvEntry) and self._is_mine(found):
             self._record_written(found)
@@ -250,7 +259,9 @@
 
     async def _run(self) -> None:
         backoff = Backoff(base_s=0.2, limit_s=1.0)
-        await sleep(self._clock, self._random.uniform(0.5, 1.0) * _SETTLE_S)
+        await sleep(
+            self._clock, self._random.uniform(0.5, 1.0) * _STARTUP_DELAY_S
+        )
         while True:
             await self._wait_until_free()
             failure = await self._acquire(self._previous)
@@ -262,7 +273,7 @@
                 await sleep(self._clock, backoff.next(self._random))
 
     async def _wait_until_free(self) -> None:
-        """Returns when the lease is free and it is this entry's turn."""
+        """Returns when the lease is free and this entry's delay has passed."""
         while True:
             if self._is_taken:
                 self._freed = Deferred()
@@ -273,22 +284,22 @@
 
     def _attempt_delay_s(self) -> float:
         rank = self._rank(LEADER_KEY)
-        if rank < FIRST:
-            within = self._random.uniform(0.0, _TRY_WITHIN_S)
-            return rank * _TRY_EVERY_S + within
-        return self._random.uniform(1.0, 1.5) * _LATER_S
+        if rank < OWNER_CANDIDATES:
+            within = self._random.uniform(0.0, _RANK_JITTER_S)
+            return rank * _RANK_DELAY_S + within
+        return self._random.uniform(1.0, 1.5) * _UNRANKED_DELAY_S
 
-    async def _acquire(self, before: Leader | None) -> Failure | None:
-        """Writes the key; a lost answer is read back.
+    async def _acquire(self, predecessor: Leader | None) -> Failure | None:
+        """Writes the key, and reads it back if the answer is lost.
 
-        A write that takes effect only after that is not claimed: its lease
-        is not renewed, so the key goes again and is free for all.
+        A write that takes effect only after that read is not claimed: its lease
+        is not renewed, so the key expires and any entry can take it.
         """
         asked = self._clock.seconds()
         lease = await self._kv.grant(self._ttl_s)
         if isinstance(lease, Failure):
             return lease
-        value = msgspec.json.encode(self._first_record(before))
+        value = msgspec.json.encode(self._first_record(predecessor))
         swap = await self._kv.put_if(LEADER_KEY, value, 0, lease)
         if isinstance(swap, Failure):
             found = await self._kv.get(LEADER_KEY)
@@ -296,50 +307,52 @@
                 return swap
             revision = found.revision
         elif not swap.won:
-            return failed(Code.KV_ERROR, "another entry was faster")
+            return failed(Code.KV_ERROR, "another entry won the lease")
         else:
             revision = swap.revision
         self._lease = lease
         self.fence = revision
         self.announced = None
-        self._until = asked + self._ttl_s - _MARGIN_S
-        self._follow(before)
+        self._valid_until = asked + self._ttl_s - _COMMAND_MARGIN_S
+        self._inherit(predecessor)
         emit(
             Event.LEASE_WON,
             holder=self.name,
             fence=self.fence,
-            before=before.start if before else "unknown",
+            before=predecessor.start if predecessor else "unknown",
             left_alone="all"
             if self._possibly_commanded is None
             else len(self._possibly_commanded),
         )
         return None
 
-    def _first_record(self, before: Leader | None) -> Leader:
+    def _first_record(self, predecessor: Leader | None) -> Leader:
         """Returns the first value that this leader writes.
 
-        It carries on which engines those before may have commanded, for the
-        case that this leader ends within the bound too.
+        It includes the engines that earlier leaders may have commanded, in case
+        this leader also ends within the bound.
         """
-        commanded = before.possibly_commanded if before else None
+        commanded = predecessor.possibly_commanded if predecessor else None
         return msgspec.structs.replace(self._me, possibly_commanded=commanded)
 
-    def _follow(self, before: Leader | None) -> None:
-        """Learns which engines to leave alone, and until when."""
-        self._wait_until = self._clock.seconds() + self._bound_s
+    def _inherit(self, predecessor: Leader | None) -> None:
+        """Records which engines not to command, and until when."""
+        self._inherited_until = self._clock.seconds() + self._bound_s
         self._possibly_commanded = self._written_commanded = (
-            before.possibly_commanded if before else None
+            predecessor.possibly_commanded if predecessor else None
         )
 
     def _find_possibly_commanded(
         self, rollout: Rollout | None
     ) -> tuple[str, ...] | None:
-        """Returns the engines that the next leader must leave alone."""
+        """Returns the engines that the next leader must not command yet."""
         now = self._clock.seconds()
         for known in (self.announced, rollout):
             for endpoint in known.closed if known else ():
                 self._closed_at[endpoint] = now
-        inherited = self._possibly_commanded if now < self._wait_until else ()
+        inherited = (
+            self._possibly_commanded if now < self._inherited_until else ()
+        )
         if inherited is None:
             return None
         recent = {
@@ -351,7 +364,7 @@
 
     async def _hold(self) -> None:
         while self.fence:
-            await sleep(self._clock, self._ttl_s / _RENEWALS)
+            await sleep(self._clock, self._ttl_s / _RENEWALS_PER_TTL)
             asked = self._clock.seconds()
             left = await self._kv.keep(self._lease)
             if isinstance(left, Failure):
@@ -360,9 +373,9 @@
             if left <= 0:
                 break
             if self.fence:
-                self._until = asked + self._ttl_s - _MARGIN_S
+                self._valid_until = asked + self._ttl_s - _COMMAND_MARGIN_S
         emit(Event.LEASE_LOST, holder=self.name, fence=self.fence)
-        self.fenced()
+        self.step_down()
 
     def _is_mine(self, entry: KvEntry) -> bool:
         leader = _leader_of(entry)
--- a/magnolialug/entry/routebook.py
+++ b/magnolialug/entry/routeconfig.py
@@ -1,4 +1,4 @@
-"""The operator's routes in force, and the weights that it has named."""
+"""The operator's current routes and the weights that it has named."""
 
 from collections.abc import Callable, Sequence
 
@@ -15,18 +15,18 @@
 from magnolialug.result import Failure
 from magnolialug.watchsubscriber import WatchSubscriber
 
-__all__ = ["RouteBook"]
+__all__ = ["RouteConfig"]
 
 
-class RouteBook(WatchSubscriber):
-    """Applies whole configurations of higher versions only.
+class RouteConfig(WatchSubscriber):
+    """Applies only whole configurations with a higher version.
 
-    Reads can be stale and notices can come late; one would notice a removed
-    key or route to be back. The version is the only judge: what is not
-    higher is not applied.
+    Reads can be stale and notifications late, and applying one would restore a
+    removed key or route. So a configuration is applied only if its version is
+    higher than the current one.
 
     Attributes:
-      table: the routes in force, None before the first configuration.
+      table: the current routes, None before the first configuration.
       weights: the newest version that the operator has named, by model.
     """
 
@@ -37,16 +37,16 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """The version of the current configuration, 0 before the first."""
         return self.table.routing.version if self.table else 0
 
     def snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Takes all that the operator has written."""
+        """Applies all keys that the operator has written."""
         for entry in entries:
             self.changed(entry)
 
     def changed(self, entry: KvEntry) -> None:
-        """Takes one change."""
+        """Applies one written key; removals are ignored."""
         if entry.value is None:
             return
         if entry.key == CONFIG_KEY:
--- a/magnolialug/entry/urgentwatch.py
+++ b/magnolialug/entry/urgentwatch.py
@@ -1,4 +1,4 @@
-"""Watches some keys while a long answer holds up all the others."""
+"""Watches urgent keys while a long answer delays all other changes."""
 
 from collections.abc import Callable, Sequence
 
@@ -13,16 +13,16 @@
 
 
 class UrgentWatch:
-    """Follows some prefixes until it is stopped.
+    """Watches some prefixes until it is stopped.
 
-    An endpoint that leaves must be known within two seconds; one long value
-    can take as long to arrive, and whatever changes behind it would wait. The
-    service returns no changes but those under a prefix, so each has a call of
-    its own.
+    The departure of an endpoint must be known within two seconds. One long
+    value can take that long to arrive, and all changes after it would wait. A
+    call to the service returns the changes under one prefix, so each prefix
+    has its own call.
 
     Args:
-      prefixes: of keys whose values are short.
-      wait_s: how long one call may wait at the service for a change.
+      prefixes: prefixes of keys whose values are short.
+      wait_s: longest time that a call waits at the service for a change.
       pace_s: shortest time between two calls for a prefix.
       on_changes: receives a prefix and what has changed under it.
     """
@@ -45,7 +45,7 @@
         self._tasks: list[Deferred] = []
 
     def start(self, after: int) -> None:
-        """Begins to follow all prefixes from a revision."""
+        """Starts to watch all prefixes for changes after a revision."""
         self.stop()
         for prefix in self._prefixes:
             task = ensureDeferred(self._follow(prefix, after))
@@ -53,13 +53,13 @@
             self._tasks.append(task)
 
     def stop(self) -> None:
-        """Ends all calls."""
+        """Cancels all calls."""
         tasks, self._tasks = self._tasks, []
         for task in tasks:
             task.cancel()
 
     async def _follow(self, prefix: str, after: int) -> None:
-        """Reports changes; after a failure the long answer brings them."""
+        """Reports changes until a call fails; the long answer has the rest."""
         while True:
             found = await self._kv.changes(prefix, after, self._wait_s)
             if isinstance(found, Failure):
--- a/magnolialug/entry/watchclient.py
+++ b/magnolialug/entry/watchclient.py
@@ -18,57 +18,64 @@
 
 __all__ = ["WatchClient"]
 
-# One watch over all keys costs one call a change; one for each prefix would
-# cost as many as there are prefixes.
+# A watch over all keys costs one call for each change. A watch for each prefix
+# would cost as many calls as there are prefixes.
 _ALL = ""
-# Calls that follow each other without a longer pause: most changes come alone,
+# Consecutive calls before the pause between them grows. Most changes come alone
 # or in two or three steps.
-_QUICK_CALLS = 3
-# A watch whose answer was lost cannot be told from a quiet one. The service is
-# asked for its revision this often meanwhile, well within the shortest bound
-# for a configuration, 2 s.
+_UNDELAYED_CALLS = 3
+# A watch whose answer was lost cannot be distinguished from one without
+# changes. The service is queried for its revision this often during a watch,
+# well within the shortest bound for a configuration, 2 s.
 _CHECK_INTERVAL_S = 0.8
-# A change that is on its way to the watch when the service answers the check.
+# Time allowed for a change that is still on its way to the watch when the
+# service answers the check.
 _CHECK_SLACK_S = 0.2
-# While an answer arrives for longer than this, and may hold a long value, the
-# changes of urgent keys are asked for beside it.
+# If an answer that may hold a long value takes longer than this to arrive, the
+# changes of urgent keys are requested in parallel.
 _LONG_ARRIVAL_S = 0.1
-# An answer that arrives for longer than this is logged.
+# An answer that takes longer than this to arrive is logged.
 _SLOW_ARRIVAL_S = 0.2
-# A longer value holds up what changes behind it, and only its newest version is
-# read after a time without contact. Many short values are no reason for either:
-# when a whole fleet starts again, further calls would use up the quota.
+# A value longer than this delays the changes after it, and after an outage only
+# its newest version is read. Many short values cause neither, because further
+# calls would use up the quota when a whole fleet restarts.
 _LONG_VALUE_BYTES = 64 * 1024
-# How often it is logged that the service still does not answer.
+# Interval of log lines while the service does not answer.
 _REMINDER_INTERVAL_S = 10.0
-# What was missed stands in no answer, or in too long a one: a snapshot has one
-# value of each key, however often it has changed.
+# After these failures a snapshot is read: the missed changes are no longer
+# available, or their answer is too long. A snapshot holds one value for each
+# key, however often it has changed.
 _READ_ALL_AFTER = frozenset((Code.KV_HISTORY_GONE, Code.KV_ANSWER_TOO_LONG))
-# Pages that were read longer ago are read again. The service must still know
-# what has changed since the first one.
+# Pages of an interrupted snapshot that are older than this are read again. The
+# service must still have the changes since the first page.
 _PAGES_KEPT_S = 5.0
 # First pause after a failed call.
 _RETRY_S = 0.1
-# Longest pause while the service answers calls, but not as it should.
+# Longest pause while the service answers calls with errors.
 _RETRY_LIMIT_S = 1.0
 # Longest pause while no connection can be made. Such attempts cost the service
-# nothing, and a process whose path is back must soon know what it has missed.
+# nothing, and once the network path works again the process must soon read the
+# changes that it has missed.
 _RECONNECT_LIMIT_S = 0.25
 
 
 class WatchClient:
-    """Reads all entries once, then the changes, with one watch at a time.
+    """Reads all entries once, then watches for changes, one call at a time.
 
-    The service has a quota for all machines together. Pauses after a failure
-    are drawn at random, because calls of the whole fleet at the end of an
+    The service has one quota for all machines. Pauses after a failure are
+    random, because simultaneous calls of the whole fleet at the end of an
     outage would use up the quota and be refused.
 
     Args:
-      subscribers: receive the entries under their prefix.
-      wait_s: how long one call may wait at the service for a change.
-      pace_s: shortest and longest time between two calls while much changes,
-        so that one call returns several changes.
-      urgent: prefixes of keys that do not wait behind a long answer.
+      subscribers: by prefix, the subscriber that receives its entries.
+      wait_s: longest time that a call waits at the service for a change.
+      pace_s: shortest and longest time between two calls while changes are
+        frequent, so that one call returns several changes.
+      urgent: prefixes of keys whose changes do not wait for a long answer.
+
+    Attributes:
+      is_connected: whether the service answered the last call.
+      revision: the revision up to which all changes have been reported.
     """
 
     def __init__(
@@ -81,7 +88,7 @@
         pace_s: tuple[float, float] = (0.0, 0.0),
         urgent: Sequence[str] = (),
     ):
-        self.in_touch = False
+        self.is_connected = False
         self.revision = 0
         self._kv = kv
         self._subscribers = subscribers
@@ -89,7 +96,7 @@
         self._random = random
         self._wait_s = wait_s
         self._pace_s = pace_s
-        self._in_a_row = 0
+        self._consecutive_calls = 0
         self._asked_at = float("-inf")
         self._answered_at = clock.seconds()
         self._lost_logged_at = float("-inf")
@@ -98,24 +105,24 @@
         self._pages_begun_at = float("-inf")
         self._has_long_values = False
         self._urgent_watch = UrgentWatch(
-            kv, urgent, clock, wait_s, pace_s[0], self._urgent
+            kv, urgent, clock, wait_s, pace_s[0], self._apply_urgent
         )
         self._urgent_revisions = dict.fromkeys(urgent, 0)
         self._task: Deferred | None = None
 
     def start(self) -> None:
-        """Begins to watch."""
+        """Starts the watch."""
         self._task = ensureDeferred(self._run())
         self._task.addErrback(lambda reason: reason.trap(CancelledError))
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """Stops the watch."""
         task, self._task = self._task, None
         if task is not None:
             task.cancel()
 
     def revision_of(self, prefix: str) -> int:
-        """Returns the revision up to which all changes of a prefix are told."""
+        """Returns the revision up to which a prefix has been reported."""
         return max(self.revision, self._urgent_revisions.get(prefix, 0))
 
     async def _run(self) -> None:
@@ -125,16 +132,16 @@
             found = await (self._changes() if known else self._snapshot())
             if isinstance(found, Failure):
                 if found.code in _READ_ALL_AFTER:
-                    # The service answers; earlier failures do not delay the
-                    # snapshot, which tells of what was missed.
+                    # The service answers, so earlier failures must not delay
+                    # the snapshot, which holds the missed changes.
                     known = False
                     backoff = Backoff(base_s=_RETRY_S)
-                self._lost(found)
+                self._record_failure(found)
                 await sleep(self._clock, self._pause_s(found, backoff))
                 continue
             backoff = Backoff(base_s=_RETRY_S)
             self._log_arrival()
-            self._heard(found)
+            self._apply(found)
             if known:
                 await self._pace()
             known = True
@@ -146,24 +153,24 @@
         return backoff.next(self._random)
 
     async def _pace(self) -> None:
-        """Waits for further changes, longer each time while there are some.
+        """Waits for further changes, longer after each consecutive call.
 
-        A start of the whole fleet, or of one entry after the other, changes
-        something every moment; each call that brings one change costs as much
-        as one that brings ten.
+        While the whole fleet starts, or entries restart one after another,
+        changes are constant. A call that returns one change costs as much as
+        a call that returns ten.
         """
         least_s, longest_s = self._pace_s
         took_s = self._clock.seconds() - self._asked_at
         if took_s > longest_s:
-            self._in_a_row = 0
+            self._consecutive_calls = 0
             return
-        self._in_a_row += 1
-        doubled = max(0, self._in_a_row - _QUICK_CALLS)
+        self._consecutive_calls += 1
+        doubled = max(0, self._consecutive_calls - _UNDELAYED_CALLS)
         pause_s = min(longest_s, least_s * 2**doubled)
         await sleep(self._clock, max(0.0, pause_s - took_s))
 
     async def _snapshot(self) -> Snapshot | Failure:
-        """Reads all entries, from where a failure interrupted it before."""
+        """Reads all entries, resuming a read that a failure interrupted."""
         now = self._clock.seconds()
         if now - self._pages_begun_at > _PAGES_KEPT_S:
             self._pages, self._pages_begun_at = Pages(_ALL), now
@@ -172,7 +179,7 @@
 
     async def _changes(self) -> Changes | Snapshot | Failure:
         self._asked_at = self._clock.seconds()
-        if self.in_touch:
+        if self.is_connected:
             awaited = await self._wait_for_changes()
             if awaited is not None:
                 return awaited
@@ -181,34 +188,35 @@
         found = await self._ask_changes(0.0)
         if isinstance(found, Failure) or found.entries:
             return found
-        # While the service drops its history, watches skip changes.
+        # While the service discards its history, watches skip changes.
         skipped = found.revision > self.revision
         return await self._snapshot() if skipped else found
 
     async def _catch_up(self) -> Snapshot | Failure:
-        """Reads what was missed, and only the newest version of each value.
+        """Reads missed changes, only the newest version of long values.
 
-        The changes hold every version of a value. Those of a long one take
-        longer to arrive than it takes the operator to write the next. Changes
-        of urgent keys are short, and each of them matters.
+        The list of changes holds every version of a value. All versions of a
+        long value can take longer to arrive than the operator takes to write
+        the next. Changes of urgent keys are short, and each of them matters,
+        so they are read one by one before the snapshot.
         """
         for prefix in self._urgent_revisions:
             after = self.revision_of(prefix)
             found = await self._kv.changes(prefix, after, 0.0)
             if isinstance(found, Failure):
                 return found
-            self._touch(found.revision)
-            self._urgent(prefix, found)
+            self._record_contact(found.revision)
+            self._apply_urgent(prefix, found)
         return await self._snapshot()
 
     async def _ask_changes(self, wait_s: float) -> Changes | Failure:
-        """Asks for changes of all keys; the urgent ones overtake the others."""
-        overtaking = None
+        """Requests changes of all keys; urgent ones may arrive earlier."""
+        urgent_timer = None
 
         def begin() -> None:
-            nonlocal overtaking
+            nonlocal urgent_timer
             if self._has_long_values:
-                overtaking = self._clock.callLater(
+                urgent_timer = self._clock.callLater(
                     _LONG_ARRIVAL_S, self._urgent_watch.start, self.revision
                 )
 
@@ -218,8 +226,8 @@
                 _ALL, self.revision, wait_s, self._progress
             )
         finally:
-            if overtaking is not None and overtaking.active():
-                overtaking.cancel()
+            if urgent_timer is not None and urgent_timer.active():
+                urgent_timer.cancel()
             self._urgent_watch.stop()
 
     def _log_arrival(self) -> None:
@@ -233,12 +241,12 @@
             )
 
     async def _wait_for_changes(self) -> Changes | Failure | None:
-        """Waits at the service until a change, or until the watch is stale.
+        """Waits at the service for a change, or until the watch is stale.
 
-        The answer to a watch is lost when the service stops answering while
-        something changes; its connection stays open, and every other call is
-        answered again. Without a check the process would go on with an old
-        configuration until the wait is over.
+        The answer to a watch is lost if the service stops answering while
+        something changes. The connection of the watch stays open, and later
+        calls are answered again. Without a check the process would use an old
+        configuration until the watch times out.
 
         Returns:
           None if the watch is stale.
@@ -272,11 +280,12 @@
             check.cancel()
 
     async def _until_stale(self) -> str:
-        """Returns why once the service is ahead of a watch, or unreachable.
+        """Returns the reason once the watch is stale.
 
-        A watch whose answer is arriving has missed nothing. It is left alone,
-        since asking anew would carry the same answer again; if it falls
-        silent, its call ends by itself.
+        A watch is stale if the service has a newer revision or cannot be
+        reached. A watch whose answer is arriving is not stale: a new call
+        would transfer the same answer again. If that answer stops arriving,
+        its call times out by itself.
         """
         watch = self._progress
         while True:
@@ -296,46 +305,47 @@
             if not watch.is_arriving:
                 return f"the service is at revision {newest}"
 
-    def _touch(self, revision: int) -> None:
+    def _record_contact(self, revision: int) -> None:
         """Records that the service has answered."""
         now = self._clock.seconds()
         away_s, self._answered_at = now - self._answered_at, now
-        if not self.in_touch:
-            self.in_touch = True
+        if not self.is_connected:
+            self.is_connected = True
             self._lost_logged_at = float("-inf")
             emit(Event.KV_BACK, revision=revision, away_s=round(away_s, 3))
             for subscriber in self._subscribers.values():
                 subscriber.back(away_s)
 
-    def _heard(self, found: Snapshot | Changes) -> None:
-        self._touch(found.revision)
+    def _apply(self, found: Snapshot | Changes) -> None:
+        self._record_contact(found.revision)
         self.revision = max(self.revision, found.revision)
-        self._note_sizes(found.entries)
-        # Pages that are older than what is reported must not follow it.
+        self._check_sizes(found.entries)
+        # Pages older than the reported changes must not be reported after them.
         self._pages_begun_at = float("-inf")
         if isinstance(found, Snapshot):
-            # It may be older than what has overtaken an answer before it.
+            # The snapshot may be older than the urgent changes that were
+            # reported before it.
             self._urgent_revisions = dict.fromkeys(self._urgent_revisions, 0)
             for prefix, subscriber in self._subscribers.items():
                 rows = [e for e in found.entries if e.key.startswith(prefix)]
                 subscriber.snapshot(rows)
             return
-        self._report([e for e in found.entries if not self._is_told(e)])
+        self._report([e for e in found.entries if not self._was_reported(e)])
 
-    def _note_sizes(self, entries: Sequence[KvEntry]) -> None:
-        """Learns whether there are values that take long to arrive."""
+    def _check_sizes(self, entries: Sequence[KvEntry]) -> None:
+        """Records whether there are values that take long to arrive."""
         longest = max((len(e.value or b"") for e in entries), default=0)
         self._has_long_values |= longest > _LONG_VALUE_BYTES
 
-    def _urgent(self, prefix: str, found: Changes) -> None:
-        """Takes changes that have overtaken a long answer."""
+    def _apply_urgent(self, prefix: str, found: Changes) -> None:
+        """Reports urgent changes that arrived before a long answer."""
         if found.entries:
             self._pages_begun_at = float("-inf")
         self._urgent_revisions[prefix] = found.revision
         self._report(found.entries)
 
-    def _is_told(self, entry: KvEntry) -> bool:
-        """Whether a change has overtaken the answer that it is in now."""
+    def _was_reported(self, entry: KvEntry) -> bool:
+        """Whether a change was reported as urgent before this answer."""
         return any(
             entry.revision <= revision and entry.key.startswith(prefix)
             for prefix, revision in self._urgent_revisions.items()
@@ -349,18 +359,18 @@
         for subscriber in self._subscribers.values():
             subscriber.settled()
 
-    def _lost(self, failure: Failure) -> None:
-        self._log_lost(failure)
-        if not self.in_touch:
+    def _record_failure(self, failure: Failure) -> None:
+        self._log_outage(failure)
+        if not self.is_connected:
             return
-        self.in_touch = False
+        self.is_connected = False
         for subscriber in self._subscribers.values():
             subscriber.lost()
 
-    def _log_lost(self, failure: Failure) -> None:
-        """Logs an outage when it begins and then from time to time.
+    def _log_outage(self, failure: Failure) -> None:
+        """Logs an outage when it begins and at intervals while it lasts.
 
-        An outage may have begun before the process did, and its reason may
+        An outage may have begun before the process started, and its reason may
         change.
         """
         now = self._clock.seconds()
--- a/magnolialug/measure/ablation.py
+++ b/magnolialug/measure/ablation.py
@@ -66,7 +66,7 @@
         "1e9",
     ),
     Mechanism("second store owner", "prefixcache/wiring.py", "_OWNERS", "1"),
-    Mechanism("stand-ins", "owners/ownerring.py", "FIRST", "1"),
+    Mechanism("stand-ins", "owners/ownerring.py", "OWNER_CANDIDATES", "1"),
     Mechanism("patience", "entry/placer.py", "_TARGETS", "1e9"),
     Mechanism("health pauses", "policy/health.py", "_FIRST_PAUSE_S", "0.0"),
 )
--- a/magnolialug/owners/__init__.py
+++ b/magnolialug/owners/__init__.py
@@ -1,1 +1,1 @@
-"""Owners of endpoints: load ledgers and admission queues, and their clients."""
+"""Load ledgers and admission queues of endpoints, and their clients."""
--- a/magnolialug/owners/admissionclient.py
+++ b/magnolialug/owners/admissionclient.py
@@ -1,4 +1,4 @@
-"""Prompts of this entry that wait for admission by the owners of engines."""
+"""Requests admission for prompts from the owners of engines."""
 
 import itertools
 from collections.abc import Callable, Iterable
@@ -21,20 +21,20 @@
 
 __all__ = ["AdmissionClient", "AdmissionRequest"]
 
-# Well below the owner's expiry, so that lost datagrams do not drop a waiting
-# prompt.
+# Well below the time after which an owner drops a prompt, so that lost
+# datagrams do not remove a waiting prompt.
 _RENEW_INTERVAL_S = 0.2
-# An owner that does not reply for this long is gone or cannot reach this entry.
-_SILENT_S = 0.5
+# An owner that does not reply for this long has stopped or is disconnected.
+_OWNER_TIMEOUT_S = 0.5
 _RETRY_AFTER_S = 1.0
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True):
-    """What a prompt would take of one engine.
+    """The resources that a prompt needs of one engine.
 
     Attributes:
-      tokens: of the engine's memory.
-      unread: tokens that it would have to read.
+      tokens: memory that the prompt needs, in tokens.
+      unread: prompt tokens that the engine has to prefill.
     """
 
     endpoint: EndpointId
@@ -43,16 +43,23 @@
 
 
 class _Place(msgspec.Struct):
-    """A prompt's place in one engine's queue."""
+    """A prompt's place in one engine's queue.
+
+    Attributes:
+      is_first_choice: whether no other prompt overtakes it in this queue.
+      last_reply_at: when the owner last replied.
+      retry_after_s: if the deadline cannot be met in this queue, when the
+        caller may retry; None otherwise.
+    """
 
     request: AdmissionRequest
     owner: Address
-    first: bool
-    heard_at: float
-    hopeless_after_s: float | None = None
+    is_first_choice: bool
+    last_reply_at: float
+    retry_after_s: float | None = None
 
 
-class _Row(msgspec.Struct):
+class _PendingPrompt(msgspec.Struct):
     waiting: Waiting
     ahead_s: float
     places: dict[EndpointId, _Place]
@@ -60,14 +67,14 @@
 
 
 class AdmissionClient:
-    """Enqueues a prompt for several engines; the first grant counts.
+    """Enqueues a prompt for several engines and uses the first grant.
 
-    A queue in each entry would see neither the prompts of the others nor, in
-    time, what they send. A queue for each engine moves only when that engine
-    has room, so a prompt waits in a few of them.
+    A queue in each entry would not see the prompts of other entries, and would
+    see their requests too late. A queue for each engine moves only when that
+    engine has free memory, so a prompt waits in a few of them.
 
     Args:
-      entry: names this start of this process.
+      entry: identifies this start of this process.
       send: sends a message to an entry.
     """
 
@@ -82,13 +89,13 @@
         self._ring = ring
         self._send = send
         self._clock = clock
-        self._rows: dict[int, _Row] = {}
+        self._rows: dict[int, _PendingPrompt] = {}
         self._numbers = itertools.count(1)
         self._timer = None
 
     @property
     def waiting(self) -> int:
-        """How many prompts wait."""
+        """The number of waiting prompts."""
         return len(self._rows)
 
     def enqueue(
@@ -99,14 +106,14 @@
     ) -> Deferred[EndpointId | Failure | None]:
         """Returns the engine that admits a prompt.
 
-        The result is a failure if no grant can come in time, and None if no
-        owner answers or all engines are gone: the prompt is then placed anew.
+        The result is a failure if no grant can come in time. It is None if no
+        owner replies or all engines are gone; the prompt is then placed again.
 
         Args:
           waiting: the prompt; its times are on this process's clock.
           requests: the engines that it may go to, the best one first.
-          ahead_s: it is admitted only where less than this is to be read
-            first.
+          ahead_s: it is admitted only by an engine with less than this time of
+            prefill ahead of it.
         """
         now = self._clock.seconds()
         number = next(self._numbers)
@@ -119,7 +126,7 @@
         granted: Deferred[EndpointId | Failure | None] = Deferred(
             lambda _: self._end(number)
         )
-        self._rows[number] = _Row(waiting, ahead_s, places, granted)
+        self._rows[number] = _PendingPrompt(waiting, ahead_s, places, granted)
         self._renew(number)
         if self._timer is None and number in self._rows:
             self._timer = self._clock.callLater(
@@ -128,8 +135,8 @@
         return granted
 
     def on_reply(self, reply: AdmissionReply, owner: Address) -> None:
-        """Takes an owner's reply."""
-        self._ring.heard(owner)
+        """Processes an owner's reply."""
+        self._ring.mark_responsive(owner)
         row = self._rows.get(reply.number)
         if row is None:
             self._leave(reply.number, owner)
@@ -137,7 +144,7 @@
         place = row.places.get(reply.endpoint)
         if place is None:
             return
-        place.heard_at = self._clock.seconds()
+        place.last_reply_at = self._clock.seconds()
         if reply.state is AdmissionState.GRANTED:
             self._finish(reply.number, reply.endpoint)
         elif reply.state is AdmissionState.GONE:
@@ -145,21 +152,21 @@
             if not row.places:
                 self._finish(reply.number, None)
         else:
-            hopeless = reply.state is AdmissionState.HOPELESS
-            place.hopeless_after_s = reply.after_ms / 1000 if hopeless else None
-            self._give_up(reply.number, row)
+            too_late = reply.state is AdmissionState.TOO_LATE
+            place.retry_after_s = reply.after_ms / 1000 if too_late else None
+            self._refuse_if_too_late(reply.number, row)
 
     def stop(self) -> None:
-        """Renews nothing more."""
+        """Stops renewing places."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
-    def _give_up(self, number: int, row: _Row) -> None:
-        """Refuses a prompt that is hopeless in all of its queues."""
-        hopeless = [place.hopeless_after_s for place in row.places.values()]
-        if None not in hopeless:
-            self._finish(number, _no_room(min(hopeless)))
+    def _refuse_if_too_late(self, number: int, row: _PendingPrompt) -> None:
+        """Refuses a prompt that cannot meet its deadline in any queue."""
+        delays_s = [place.retry_after_s for place in row.places.values()]
+        if None not in delays_s:
+            self._finish(number, _no_room(min(delays_s)))
 
     def _renew_all(self) -> None:
         self._timer = None
@@ -168,7 +175,7 @@
             if now >= row.waiting.ends_at:
                 self._finish(number, _no_room(_RETRY_AFTER_S))
                 continue
-            self._drop_silent(number, row, now)
+            self._drop_unresponsive(number, row, now)
             if number in self._rows:
                 self._renew(number)
         if self._rows:
@@ -176,16 +183,18 @@
                 _RENEW_INTERVAL_S, self._renew_all
             )
 
-    def _drop_silent(self, number: int, row: _Row, now: float) -> None:
+    def _drop_unresponsive(
+        self, number: int, row: _PendingPrompt, now: float
+    ) -> None:
         for endpoint, place in list(row.places.items()):
-            if now - place.heard_at >= _SILENT_S:
-                self._ring.missed(place.owner)
+            if now - place.last_reply_at >= _OWNER_TIMEOUT_S:
+                self._ring.mark_unresponsive(place.owner)
                 del row.places[endpoint]
         if not row.places:
             self._finish(number, None)
 
     def _renew(self, number: int) -> None:
-        """Renews a prompt's places in all queues."""
+        """Renews a prompt's places in all its queues."""
         row = self._rows[number]
         now = self._clock.seconds()
         for place in list(row.places.values()):
@@ -199,8 +208,8 @@
                 target_ms=int((row.waiting.target_at - now) * 1000),
                 ends_ms=int((row.waiting.ends_at - now) * 1000),
                 ahead_ms=int(row.ahead_s * 1000),
-                lists=len(row.places),
-                first=place.first,
+                queue_count=len(row.places),
+                is_first_choice=place.is_first_choice,
             )
             self._send(message, place.owner)
 
@@ -210,7 +219,7 @@
         if row is not None:
             self._leave_all(number, row)
 
-    def _leave_all(self, number: int, row: _Row) -> None:
+    def _leave_all(self, number: int, row: _PendingPrompt) -> None:
         for owner in {place.owner for place in row.places.values()}:
             self._leave(number, owner)
 
@@ -218,10 +227,10 @@
         self._send(Dequeue(self._entry, number), owner)
 
     def _finish(self, number: int, result: EndpointId | Failure | None) -> None:
-        """Ends a wait; the queues are left after the request has been sent.
+        """Ends a wait, and leaves the queues once the request has been sent.
 
-        Otherwise the reserved memory would be granted to the next prompt
-        before the owner learns of the request.
+        If the queues were left first, the reserved memory would be granted to
+        the next prompt before the owner receives the report of the request.
         """
         row = self._rows.pop(number)
         row.granted.callback(result)
@@ -229,5 +238,5 @@
 
 
 def _no_room(after_s: float) -> Failure:
-    reason = "no engine has memory for it in time"
+    reason = "no engine has memory for the prompt in time"
     return failed(Code.NO_ROOM, reason, retry_after_s=after_s)
--- a/magnolialug/owners/admissionqueues.py
+++ b/magnolialug/owners/admissionqueues.py
@@ -19,13 +19,13 @@
 
 __all__ = ["AdmissionQueues"]
 
-# Room is looked for this often while a prompt waits.
-_LOOK_INTERVAL_S = 0.02
-# From a grant to the first event on a busy engine, without the time to read the
-# prompt itself.
-_FIRST_EVENT_S = 0.2
-# Prompt tokens a second of an engine that has not answered yet.
-_USUAL_RATE = 75_000.0
+# Interval between attempts to admit prompts while any wait.
+_GRANT_INTERVAL_S = 0.02
+# Time from a grant to the first event on a busy engine, without the prefill of
+# the prompt itself.
+_FIRST_EVENT_DELAY_S = 0.2
+# Assumed prefill rate of an engine that has not answered yet.
+_DEFAULT_PREFILL_TOKENS_PER_S = 75_000.0
 
 Ticket = tuple[str, int]
 
@@ -51,7 +51,7 @@
 
     @property
     def waiting(self) -> int:
-        """How many prompts wait in the queues here."""
+        """The number of prompts in the queues of this entry."""
         return sum(len(ledger.queue) for ledger in self._ledgers)
 
     def enqueue(self, message: Enqueue, client: Address) -> None:
@@ -72,7 +72,7 @@
             ledger.leave((message.entry, message.number))
 
     def stop(self) -> None:
-        """Admits no more prompts."""
+        """Stops admitting prompts."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
@@ -87,7 +87,8 @@
             target_at=now + message.target_ms / 1000,
             ends_at=now + message.ends_ms / 1000,
             size=message.tokens / max(1, ledger.memory),
-            first_event_s=_FIRST_EVENT_S + message.unread / self._rate(message),
+            first_event_s=_FIRST_EVENT_DELAY_S
+            + message.unread / self._rate(message),
         )
         row = Queued(
             ticket=ticket,
@@ -95,30 +96,36 @@
             tokens=message.tokens,
             unread=message.unread,
             ahead_s=message.ahead_ms / 1000,
-            lists=message.lists,
-            first=message.first,
+            lists=message.queue_count,
+            first=message.is_first_choice,
             heard_at=now,
         )
         ledger.queue.put(row)
         after_s = ledger.queue.hopeless_after_s(ticket, now)
-        hopeless = after_s is not None
-        state = AdmissionState.HOPELESS if hopeless else AdmissionState.QUEUED
+        too_late = after_s is not None
+        state = AdmissionState.TOO_LATE if too_late else AdmissionState.QUEUED
         self._reply(ticket, message.endpoint, state, after_s or 0.0)
-        self._look_later()
+        self._schedule_grants()
 
     def _rate(self, message: Enqueue) -> float:
         facts = self._ledgers.facts(message.endpoint)
-        return facts.rate if facts and facts.rate else _USUAL_RATE
+        return (
+            facts.rate
+            if facts and facts.rate
+            else _DEFAULT_PREFILL_TOKENS_PER_S
+        )
 
     def _is_open(self, endpoint: EndpointId) -> bool:
         facts = self._ledgers.facts(endpoint)
         return facts is not None and facts.open
 
-    def _look_later(self) -> None:
+    def _schedule_grants(self) -> None:
         if self._timer is None and self.waiting:
-            self._timer = self._clock.callLater(_LOOK_INTERVAL_S, self._look)
+            self._timer = self._clock.callLater(
+                _GRANT_INTERVAL_S, self._grant_all
+            )
 
-    def _look(self) -> None:
+    def _grant_all(self) -> None:
         self._timer = None
         now = self._clock.seconds()
         for ledger in self._ledgers:
@@ -127,7 +134,7 @@
                 self._grant(ledger, now)
         if not self.waiting:
             self._clients.clear()
-        self._look_later()
+        self._schedule_grants()
 
     def _grant(self, ledger: EndpointLedger, now: float) -> None:
         endpoint = ledger.endpoint
--- a/magnolialug/owners/dissemination.py
+++ b/magnolialug/owners/dissemination.py
@@ -1,44 +1,48 @@
-"""Spreads what the key-value service announces, for those cut off from it."""
+"""Spreads announcements of the key-value service among the entries.
+
+They reach entries that cannot reach the service themselves.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
 
-from magnolialug.owners.messages import Known, News
+from magnolialug.owners.messages import Announcements, KnownVersions
 from magnolialug.policy.evacuation import EvacuatedZones
 from magnolialug.policy.rollout import Rollout
 
-__all__ = ["Dissemination", "EvacuationBelief", "RolloutBelief"]
+__all__ = ["Dissemination", "EvacuationState", "RolloutState"]
 
-# News is added to reports for this long after it was learned of.
-_RECENT_S = 6.0
+# Announcements are added to reports for this long after they were received.
+_ANNOUNCE_FOR_S = 6.0
 
 
-class RolloutBelief(Protocol):
-    """The newest rollout that this entry knows, and when it was heard."""
+class RolloutState(Protocol):
+    """The newest rollout that this entry knows, and when it was received."""
 
     rollout: Rollout | None
     rollout_at: float
 
     def rolls_out(self, rollout: Rollout) -> None:
-        """Takes a rollout that another entry knows."""
+        """Applies a rollout that another entry has reported."""
 
 
-class EvacuationBelief(Protocol):
-    """The evacuated zones that this entry knows, and since when."""
+class EvacuationState(Protocol):
+    """The evacuated zones that this entry applies, and when they changed."""
 
-    known: EvacuatedZones
-    known_at: float
+    current: EvacuatedZones
+    changed_at: float
 
-    def hear(self, evacuated: EvacuatedZones) -> None:
-        """Takes evacuated zones that another entry knows."""
+    def update_from_peer(self, evacuated: EvacuatedZones) -> None:
+        """Applies evacuated zones that another entry has reported."""
 
 
 class Dissemination:
-    """Adds news to the messages between entries and owners.
+    """Adds announcements to the messages between entries and owners.
 
-    No message is sent for it: reports carry what is recent, and replies what is
-    newer than their query tells to be known. So it costs the same in every
-    fleet, and reaches an entry with the first query that it makes.
+    No separate message is sent. Reports carry recent announcements, and a reply
+    carries those newer than the versions that its query states. So the cost
+    does not depend on the size of the fleet, and an entry receives the
+    announcements with the reply to its first query.
 
     Args:
       clock: returns the time in seconds.
@@ -46,42 +50,42 @@
 
     def __init__(
         self,
-        rollouts: RolloutBelief,
-        evacuations: EvacuationBelief,
+        rollouts: RolloutState,
+        evacuations: EvacuationState,
         clock: Callable[[], float],
     ):
         self._rollouts = rollouts
         self._evacuations = evacuations
         self._clock = clock
 
-    def known(self) -> Known:
-        """Returns which news this entry has."""
+    def known_versions(self) -> KnownVersions:
+        """Returns the versions of the announcements that this entry has."""
         rollout = self._rollouts.rollout
-        return Known(
-            rollout.number if rollout else 0, self._evacuations.known.revision
+        return KnownVersions(
+            rollout.number if rollout else 0, self._evacuations.current.revision
         )
 
-    def newer_than(self, known: Known) -> News:
-        """Returns what another entry does not know."""
+    def newer_than(self, known: KnownVersions) -> Announcements:
+        """Returns the announcements that another entry does not have."""
         rollout = self._rollouts.rollout
-        evacuated = self._evacuations.known
-        return News(
+        evacuated = self._evacuations.current
+        return Announcements(
             rollout if rollout and rollout.number > known.rollout else None,
             evacuated if evacuated.revision > known.evacuated else None,
         )
 
-    def recent(self) -> News:
-        """Returns what this entry has learned lately."""
-        since = self._clock() - _RECENT_S
+    def recent(self) -> Announcements:
+        """Returns the announcements that this entry has received recently."""
+        since = self._clock() - _ANNOUNCE_FOR_S
         rollouts, evacuations = self._rollouts, self._evacuations
-        return News(
+        return Announcements(
             rollouts.rollout if rollouts.rollout_at > since else None,
-            evacuations.known if evacuations.known_at > since else None,
+            evacuations.current if evacuations.changed_at > since else None,
         )
 
-    def take(self, news: News) -> None:
-        """Takes what another entry knows."""
-        if news.rollout is not None:
-            self._rollouts.rolls_out(news.rollout)
-        if news.evacuated is not None:
-            self._evacuations.hear(news.evacuated)
+    def take(self, announcements: Announcements) -> None:
+        """Applies the announcements of another entry."""
+        if announcements.rollout is not None:
+            self._rollouts.rolls_out(announcements.rollout)
+        if announcements.evacuated is not None:
+            self._evacuations.update_from_peer(announcements.evacuated)
--- a/magnolialug/owners/ledgers.py
+++ b/magnolialug/owners/ledgers.py
@@ -1,4 +1,4 @@
-"""The ledgers of the endpoints that this entry owns."""
+"""The load ledgers of the endpoints that this entry owns."""
 
 from collections.abc import Callable, Iterator
 
@@ -11,16 +11,16 @@
 
 
 class EndpointFacts(msgspec.Struct, frozen=True):
-    """What the owner's own process knows of an endpoint.
+    """The state of an endpoint as known to the owner's own process.
 
     Attributes:
-      memory: tokens, 0 for a plain service.
-      rate: prompt tokens read in a second.
+      memory: its cache memory in tokens, 0 for a plain service.
+      rate: its prefill rate in prompt tokens per second.
       open: whether it may get new work, now or soon.
-      sound: whether nothing speaks against it at the moment.
-      born_ms: its start, 0 if not known.
+      sound: whether nothing prevents new work at the moment.
+      born_ms: when it was started, 0 if not known.
       weights: the newest version that it is known to have, by model.
-      cold_until: when it is known to stop being cold, in seconds.
+      cold_until: when it stops being cold, as far as known, in seconds.
     """
 
     memory: int
@@ -33,10 +33,10 @@
 
 
 class Ledgers:
-    """One ledger for each endpoint that was told of or asked about.
+    """One ledger for each endpoint that was reported or queried.
 
     Args:
-      facts: returns what is known of an endpoint, None if it is not listed.
+      facts: returns the state of an endpoint, None if it is not listed.
     """
 
     def __init__(self, facts: Callable[[EndpointId], EndpointFacts | None]):
@@ -50,7 +50,7 @@
         """Returns the ledger of an endpoint's newest start.
 
         Args:
-          born_ms: the start that is told of, 0 if that is not known.
+          born_ms: the start that the message refers to, 0 if not known.
         """
         ledger = self._ledgers.get(endpoint)
         facts = self.facts(endpoint)
@@ -68,7 +68,7 @@
         return ledger
 
     def forget_old(self, now: float) -> None:
-        """Forgets what is over, and endpoints that are gone."""
+        """Drops expired state, and the ledgers of endpoints that are gone."""
         for ledger in self:
             ledger.forget_old(now)
             if ledger.idle() and self.facts(ledger.endpoint) is None:
@@ -78,6 +78,6 @@
 def _is_current(
     ledger: EndpointLedger, facts: EndpointFacts | None, born_ms: int
 ) -> bool:
-    """Whether an ledger is of this start, and of all its memory."""
+    """Whether a ledger is for this start and this memory size."""
     same = not born_ms or not ledger.born_ms or born_ms == ledger.born_ms
     return same and (facts is None or facts.memory == ledger.memory)
--- a/magnolialug/owners/ledgerservice.py
+++ b/magnolialug/owners/ledgerservice.py
@@ -1,4 +1,4 @@
-"""Keeps the load ledgers of owned endpoints, and answers queries."""
+"""Maintains the load ledgers of owned endpoints and answers queries."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -6,26 +6,27 @@
 from magnolialug.owners.dissemination import Dissemination
 from magnolialug.owners.ledgers import Ledgers
 from magnolialug.owners.messages import (
-    Known,
+    Announcements,
+    KnownVersions,
     LoadQuery,
     LoadReply,
     LoadReport,
-    News,
 )
 from magnolialug.policy.sharedload import Placement, WorkShare
 
 __all__ = ["LedgerService"]
 
-# Starts of entries whose newest message is remembered. Twice the entries of
-# the largest fleet, all of which start again within a few seconds.
-_MOST_ENTRIES = 2_000
+# Starts of entries whose newest message number is stored: twice the entries of
+# the largest fleet, because all of them may restart within a few seconds.
+_MAX_ENTRIES = 2_000
 
 
 class LedgerService:
-    """Records load reports, and answers with the sum of all.
+    """Records load reports, and answers queries from all of them.
 
     Args:
-      dissemination: takes the news of reports, and adds some to replies.
+      dissemination: applies the announcements of reports, and adds newer ones
+        to replies.
       clock: returns the time in seconds.
     """
 
@@ -38,16 +39,16 @@
         self._ledgers = ledgers
         self._dissemination = dissemination
         self._clock = clock
-        self._numbers: OrderedDict[str, int] = OrderedDict()
+        self._last_numbers: OrderedDict[str, int] = OrderedDict()
 
     def record(self, report: LoadReport) -> None:
-        """Records an entry's report."""
-        if report.number <= self._numbers.get(report.entry, 0):
+        """Records an entry's report, unless a newer one was received before."""
+        if report.number <= self._last_numbers.get(report.entry, 0):
             return
-        self._numbers[report.entry] = report.number
-        self._numbers.move_to_end(report.entry)
-        if len(self._numbers) > _MOST_ENTRIES:
-            self._numbers.popitem(last=False)
+        self._last_numbers[report.entry] = report.number
+        self._last_numbers.move_to_end(report.entry)
+        if len(self._last_numbers) > _MAX_ENTRIES:
+            self._last_numbers.popitem(last=False)
         now = self._clock()
         for share in report.shares:
             if self._is_current(share):
@@ -57,10 +58,12 @@
             if self._is_current(placement):
                 ledger = self._ledgers.of(placement.endpoint, placement.born_ms)
                 ledger.placed(placement)
-        self._dissemination.take(News(report.rollout, report.evacuated))
+        self._dissemination.take(
+            Announcements(report.rollout, report.evacuated)
+        )
 
     def answer(self, query: LoadQuery) -> LoadReply:
-        """Returns the states of the endpoints that are asked about."""
+        """Returns the states of the queried endpoints."""
         now = self._clock()
         states = []
         for asked in query.endpoints:
@@ -69,14 +72,17 @@
             states.append(
                 ledger.state(query.entry, now, asked.salt, query.parts)
             )
-        known = Known(query.rollout, query.evacuated)
-        news = self._dissemination.newer_than(known)
+        known = KnownVersions(query.rollout, query.evacuated)
+        announcements = self._dissemination.newer_than(known)
         return LoadReply(
-            query.number, tuple(states), news.rollout, news.evacuated
+            query.number,
+            tuple(states),
+            announcements.rollout,
+            announcements.evacuated,
         )
 
-    def _is_current(self, told: WorkShare | Placement) -> bool:
-        """Whether something is told of the newest start of an endpoint."""
-        if not told.born_ms:
+    def _is_current(self, reported: WorkShare | Placement) -> bool:
+        """Whether a report refers to the newest start of an endpoint."""
+        if not reported.born_ms:
             return True
-        return told.born_ms >= self._ledgers.of(told.endpoint).born_ms
+        return reported.born_ms >= self._ledgers.of(reported.endpoint).born_ms
--- a/magnolialug/owners/loadqueryclient.py
+++ b/magnolialug/owners/loadqueryclient.py
@@ -7,9 +7,9 @@
 from magnolialug.ids import EndpointId
 from magnolialug.owners.dissemination import Dissemination
 from magnolialug.owners.messages import (
+    Announcements,
     LoadQuery,
     LoadReply,
-    News,
     QueriedEndpoint,
 )
 from magnolialug.owners.ownerring import OwnerRing
@@ -21,13 +21,14 @@
 
 
 class LoadQueryClient:
-    """Queries a few endpoints at the moment of a choice.
+    """Queries the load of a few endpoints before one of them is chosen.
 
     Args:
-      entry: names this start of this process.
+      entry: identifies this start of this process.
       ring: assigns an owner to each endpoint.
-      pending: sends queries and gathers the replies.
-      dissemination: tells which news is known, and takes newer ones.
+      pending: sends queries and collects the replies.
+      dissemination: returns the known versions of announcements, and applies
+        newer announcements.
     """
 
     def __init__(
@@ -45,8 +46,8 @@
     async def ask(
         self, endpoints: Sequence[QueriedEndpoint], parts: tuple[Part, ...]
     ) -> dict[EndpointId, EndpointState]:
-        """Returns the states of those endpoints whose owners answer."""
-        known = self._dissemination.known()
+        """Returns the states of the endpoints whose owners reply in time."""
+        known = self._dissemination.known_versions()
         by_owner: dict[Address, list[QueriedEndpoint]] = {}
         for asked in endpoints:
             owner = self._ring.owner(asked.endpoint)
@@ -65,7 +66,9 @@
             }
         )
         for reply in replies:
-            self._dissemination.take(News(reply.rollout, reply.evacuated))
+            self._dissemination.take(
+                Announcements(reply.rollout, reply.evacuated)
+            )
         return {
             state.endpoint: state for reply in replies for state in reply.states
         }
--- a/magnolialug/owners/loadreporter.py
+++ b/magnolialug/owners/loadreporter.py
@@ -6,31 +6,31 @@
 
 from magnolialug.carrier.pool import Address
 from magnolialug.ids import EndpointId
-from magnolialug.owners.messages import LoadReport, News
+from magnolialug.owners.messages import Announcements, LoadReport
 from magnolialug.owners.ownerring import OwnerRing
 from magnolialug.policy.rollout import Rollout
 from magnolialug.policy.sharedload import Placement, WorkShare
 
 __all__ = ["LoadReporter"]
 
-# First events and ends are gathered for this long. New requests are reported at
-# once, because the next query can come within a millisecond.
-_GATHER_S = 0.02
-# Makes good lost datagrams and changes of owners.
-_REPEAT_S = 0.5
+# First events and ends of requests are batched for this long. New requests are
+# reported at once, because the next query can come within a millisecond.
+_BATCH_DELAY_S = 0.02
+# Reports are repeated to make up for lost datagrams and changes of owners.
+_REPEAT_INTERVAL_S = 0.5
 
 
 class LoadReporter:
-    """Sends this entry's share of the load of each endpoint.
+    """Reports this entry's share of the load of each endpoint to its owner.
 
-    The messages grow with this entry's own requests and not with the number of
-    entries: three a request to one owner, and two a second for each endpoint
-    where it has work.
+    The number of messages grows with this entry's own requests and not with the
+    number of entries: three per request to one owner, and two per second for
+    each endpoint where this entry has work.
 
     Args:
-      entry: names this start of this process.
+      entry: identifies this start of this process.
       share: returns this entry's work at an endpoint, None if it is gone.
-      news: returns what this entry has learned lately.
+      announcements: returns the announcements received recently.
       send: sends a message to an entry.
     """
 
@@ -39,14 +39,14 @@
         entry: str,
         ring: OwnerRing,
         share: Callable[[EndpointId], WorkShare | None],
-        news: Callable[[], News],
+        announcements: Callable[[], Announcements],
         send: Callable[[LoadReport, Address], None],
         clock: IReactorTime,
     ):
         self._entry = entry
         self._ring = ring
         self._share = share
-        self._news = news
+        self._announcements = announcements
         self._send = send
         self._clock = clock
         self._number = 0
@@ -62,34 +62,36 @@
         self._report(self._ring.owner(endpoint), [endpoint], placements)
 
     def changed(self, endpoint: EndpointId) -> None:
-        """Reports soon that work at an endpoint has progressed or ended."""
+        """Schedules a report after work at an endpoint progressed or ended."""
         self._changed.add(endpoint)
         if self._timer is None:
-            self._timer = self._clock.callLater(_GATHER_S, self._report_changed)
+            self._timer = self._clock.callLater(
+                _BATCH_DELAY_S, self._report_changed
+            )
 
-    def spread(self, rollout: Rollout) -> None:
+    def announce_rollout(self, rollout: Rollout) -> None:
         """Announces to all other entries which engines load weights now.
 
         Engines reject requests while they load, and the retry budget is small.
-        The key-value service announces it too, up to a second later.
+        The key-value service also announces it, but up to a second later.
         """
         self._number += 1
         report = LoadReport(self._entry, self._number, (), (), rollout)
         for address in self._ring.others:
             self._send(report, address)
 
-    def moved(self) -> None:
+    def owners_changed(self) -> None:
         """Reports all work again after a change of owners."""
         self._report_all(self._active)
 
     def tick(self, now: float) -> None:
-        """Repeats what is still true."""
-        if now - self._repeated_at >= _REPEAT_S:
+        """Repeats the report of all work in progress at intervals."""
+        if now - self._repeated_at >= _REPEAT_INTERVAL_S:
             self._repeated_at = now
             self._report_all(self._active)
 
     def stop(self) -> None:
-        """Reports nothing more."""
+        """Stops scheduled reports."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
@@ -114,8 +116,8 @@
     ) -> None:
         """Sends the shares of some endpoints to their owner.
 
-        An empty share is sent twice, so that the end of the last request is
-        not lost with one datagram.
+        An empty share is sent twice, so that the loss of one datagram does not
+        hide the end of the last request.
         """
         shares = []
         for endpoint in endpoints:
@@ -129,13 +131,13 @@
             if share is not None:
                 shares.append(share)
         self._number += 1
-        news = self._news()
+        announcements = self._announcements()
         report = LoadReport(
             self._entry,
             self._number,
             tuple(shares),
             placements,
-            news.rollout,
-            news.evacuated,
+            announcements.rollout,
+            announcements.evacuated,
         )
         self._send(report, owner)
--- a/magnolialug/owners/messages.py
+++ b/magnolialug/owners/messages.py
@@ -1,11 +1,11 @@
 """Messages between entries and the owners of endpoints.
 
-Each is one datagram. Datagrams get lost and reordered: reports are repeated
-while there is work, queries have a timeout, and waiting prompts renew their
-places.
+Each message is one datagram. Datagrams can be lost or reordered, so reports are
+repeated while there is work, queries have a timeout, and waiting prompts renew
+their places.
 
-The tags stay as they are: entries of two releases talk to each other during a
-rolling upgrade.
+The tags must not change, because entries of two releases exchange messages
+during a rolling upgrade.
 """
 
 import enum
@@ -19,9 +19,9 @@
 from magnolialug.policy.sharedload import EndpointState, Placement, WorkShare
 
 __all__ = [
-    "Known",
+    "KnownVersions",
     "LoadQuery",
-    "News",
+    "Announcements",
     "QueriedEndpoint",
     "LoadReply",
     "AdmissionReply",
@@ -32,20 +32,20 @@
 ]
 
 
-class Known(msgspec.Struct, frozen=True):
-    """Which news an entry has.
+class KnownVersions(msgspec.Struct, frozen=True):
+    """The versions of the announcements that an entry has.
 
     Attributes:
       rollout: the number of the newest rollout.
-      evacuated: the revision up to which it knows the evacuated zones.
+      evacuated: the revision of the evacuated zones.
     """
 
     rollout: int = 0
     evacuated: int = 0
 
 
-class News(msgspec.Struct, frozen=True):
-    """What the key-value service announces; None for nothing new."""
+class Announcements(msgspec.Struct, frozen=True):
+    """Announcements of the key-value service; None where nothing is new."""
 
     rollout: Rollout | None = None
     evacuated: EvacuatedZones | None = None
@@ -55,10 +55,11 @@
     """An entry's work at endpoints that have the same owner.
 
     Attributes:
-      entry: names one start of the sender.
-      number: counts its messages; an older one that arrives late is dropped.
-      rollout: the newest it knows, while that is news.
-      evacuated: the zones that it knows of, while that is news.
+      entry: identifies one start of the sender.
+      number: counts the sender's messages; one that arrives after a newer one
+        is dropped.
+      rollout: the newest rollout that the sender knows, if received recently.
+      evacuated: the evacuated zones, if they changed recently.
     """
 
     entry: str
@@ -73,7 +74,7 @@
     """An endpoint that is queried.
 
     Attributes:
-      salt: under which the prompt's parts would be found there.
+      salt: the cache namespace of the prompt's parts.
     """
 
     endpoint: EndpointId
@@ -84,9 +85,9 @@
     """Queries an owner for the load of its endpoints.
 
     Attributes:
-      parts: of the prompt that is to be placed.
+      parts: the parts of the prompt to be placed.
       rollout: the number of the newest rollout that the sender knows.
-      evacuated: the revision of the evacuated zones that it knows.
+      evacuated: the revision of the evacuated zones that the sender knows.
     """
 
     entry: str
@@ -101,9 +102,10 @@
     """The reply to a LoadQuery.
 
     Attributes:
-      number: that of the query.
-      rollout: one that is newer than the one the client knows.
-      evacuated: zones as of a later revision than the client knows.
+      number: the number of the query.
+      rollout: a rollout newer than the one in the query, if any.
+      evacuated: the evacuated zones, if their revision is later than the one in
+        the query.
     """
 
     number: int
@@ -116,14 +118,15 @@
     """Adds a prompt to the queue of an engine, or renews its place there.
 
     Attributes:
-      number: names the prompt among the sender's.
-      tokens: of memory that it will take.
-      unread: tokens that the engine will have to read.
-      target_ms: time left until its first event is late, may be negative.
-      ends_ms: time left until a grant is of no use.
-      ahead_ms: it is admitted only where less than this is to be read first.
-      lists: in how many queues it is.
-      first: whether no other overtakes it in this one.
+      number: identifies the prompt among those of the sender.
+      tokens: memory that the prompt needs, in tokens.
+      unread: prompt tokens that the engine has to prefill.
+      target_ms: time left until its first event is late; may be negative.
+      ends_ms: time left until a grant is useless.
+      ahead_ms: it is admitted only by an engine with less than this time of
+        prefill ahead of it.
+      queue_count: the number of queues in which it waits.
+      is_first_choice: whether no other prompt overtakes it in this queue.
     """
 
     entry: str
@@ -135,22 +138,23 @@
     target_ms: int
     ends_ms: int
     ahead_ms: int
-    lists: int
-    first: bool
+    queue_count: int
+    is_first_choice: bool
 
 
 class AdmissionState(enum.Enum):
     """The state of a prompt in an admission queue.
 
-    QUEUED: it waits.
-    GRANTED: it may go to the engine, which reserves its memory for a moment.
-    HOPELESS: it waits, but a grant will not come in time.
+    QUEUED: the prompt waits.
+    GRANTED: it may be sent to the engine; its memory is reserved for a short
+      time.
+    TOO_LATE: it waits, but cannot meet its deadline in this queue.
     GONE: the engine accepts no work.
     """
 
     QUEUED = "q"
     GRANTED = "g"
-    HOPELESS = "v"
+    TOO_LATE = "v"
     GONE = "x"
 
 
@@ -158,7 +162,7 @@
     """An owner's reply about a waiting prompt.
 
     Attributes:
-      after_ms: with HOPELESS, when it may come back.
+      after_ms: with TOO_LATE, the time after which the caller may retry.
     """
 
     number: int
@@ -168,7 +172,7 @@
 
 
 class Dequeue(msgspec.Struct, frozen=True, array_like=True, tag="unwait"):
-    """Removes a prompt from all queues, and frees its reservations."""
+    """Removes a prompt from all queues of an owner; frees its reservations."""
 
     entry: str
     number: int
--- a/magnolialug/owners/ownerring.py
+++ b/magnolialug/owners/ownerring.py
@@ -7,31 +7,31 @@
 from magnolialug.carrier.pool import Address
 from magnolialug.policy.ring import Ring
 
-__all__ = ["FIRST", "OwnerRing"]
+__all__ = ["OWNER_CANDIDATES", "OwnerRing"]
 
-# Entries that may own a task, the later ones when those before do not answer.
-# With three, and a quarter of the entries dead, one task in sixty-four has no
-# owner until their leases expire.
-FIRST = 3
-# An owner that has not answered is left out until it answers a probe, so that
-# requests do not wait for it. Pauses between probes double.
-_FIRST_PROBE_S = 0.5
-_LONGEST_PROBE_S = 4.0
+# Entries that may own a task; later ones take over when earlier ones do not
+# answer. With three, and a quarter of the entries dead, one task in sixty-four
+# has no owner until their leases expire.
+OWNER_CANDIDATES = 3
+# An owner that has not answered is excluded until it answers a probe, so that
+# requests do not wait for it. The delay between probes doubles.
+_FIRST_PROBE_DELAY_S = 0.5
+_MAX_PROBE_DELAY_S = 4.0
 
 
-class _Missing(msgspec.Struct):
+class _Unresponsive(msgspec.Struct):
     """An entry that does not answer."""
 
     probe_at: float
-    pause_s: float = _FIRST_PROBE_S
+    pause_s: float = _FIRST_PROBE_DELAY_S
 
 
 class OwnerRing:
     """Assigns the same owner to a task at every entry.
 
-    The ring holds the registered entries. While two entries disagree on them,
-    or one cannot reach an owner, an endpoint has two owners that each know a
-    part of its load. Estimates get worse then, and nothing else.
+    The ring holds the registered entries. While two entries have different sets
+    of them, or one cannot reach an owner, an endpoint has two owners that each
+    know a part of its load. This only makes load estimates less accurate.
 
     Args:
       me: this entry's own address.
@@ -42,14 +42,14 @@
         self._clock = clock
         self._ring = Ring([_name(me)])
         self._addresses = {_name(me): me}
-        self._missing: dict[Address, _Missing] = {}
+        self._unresponsive: dict[Address, _Unresponsive] = {}
         self._owners: dict[str, tuple[Address, ...]] = {}
 
     def entries(self, weights: Mapping[Address, float]) -> bool:
-        """Takes the registered entries, with the cores that each has.
+        """Sets the registered entries, with the cores of each.
 
         Returns:
-          whether that changed anything.
+          Whether the ring has changed.
         """
         weights = {self.me: weights.get(self.me, 1.0), **weights}
         addresses = {_name(address): address for address in weights}
@@ -62,8 +62,8 @@
         self._ring = ring
         self._addresses = addresses
         self._owners.clear()
-        for gone in set(self._missing) - set(weights):
-            del self._missing[gone]
+        for gone in set(self._unresponsive) - set(weights):
+            del self._unresponsive[gone]
         return True
 
     @property
@@ -72,44 +72,52 @@
         return [a for a in self._addresses.values() if a != self.me]
 
     def owner(self, task: str) -> Address:
-        """Returns the entry that keeps the ledger of an endpoint or store."""
-        first = self.first(task)
-        there = (row for row in first if row not in self._missing)
-        return next(there, first[0])
+        """Returns the owner of an endpoint or store."""
+        candidates = self.owner_candidates(task)
+        responsive = (
+            row for row in candidates if row not in self._unresponsive
+        )
+        return next(responsive, candidates[0])
 
     def rank(self, task: str) -> int:
-        """Returns this entry's place among the first for a task.
+        """Returns this entry's index among the candidates for a task.
 
-        It is FIRST for one that is not among them.
+        It is OWNER_CANDIDATES if this entry is not a candidate.
         """
-        first = self.first(task)
-        return first.index(self.me) if self.me in first else FIRST
+        candidates = self.owner_candidates(task)
+        return (
+            candidates.index(self.me)
+            if self.me in candidates
+            else OWNER_CANDIDATES
+        )
 
-    def first(self, task: str) -> tuple[Address, ...]:
-        """Returns the entries that take a task, the first choice first."""
+    def owner_candidates(self, task: str) -> tuple[Address, ...]:
+        """Returns the entries that may own a task, in order of preference."""
         found = self._owners.get(task)
         if found is None:
-            names = self._ring.candidates(task, FIRST)
+            names = self._ring.candidates(task, OWNER_CANDIDATES)
             found = tuple(self._addresses[name] for name in names)
             self._owners[task] = found
         return found
 
-    def missed(self, address: Address) -> None:
+    def mark_unresponsive(self, address: Address) -> None:
         """Records that an entry has not answered."""
-        probe_at = self._clock() + _FIRST_PROBE_S
-        self._missing.setdefault(address, _Missing(probe_at))
+        probe_at = self._clock() + _FIRST_PROBE_DELAY_S
+        self._unresponsive.setdefault(address, _Unresponsive(probe_at))
 
-    def heard(self, address: Address) -> None:
-        """Records that an entry answers."""
-        self._missing.pop(address, None)
+    def mark_responsive(self, address: Address) -> None:
+        """Records that an entry has answered."""
+        self._unresponsive.pop(address, None)
 
-    def due(self) -> list[Address]:
-        """Returns entries that do not answer and are to be probed now."""
+    def due_probes(self) -> list[Address]:
+        """Returns unresponsive entries that are due for a probe."""
         now = self._clock()
-        due = [a for a, row in self._missing.items() if now >= row.probe_at]
+        due = [
+            a for a, row in self._unresponsive.items() if now >= row.probe_at
+        ]
         for address in due:
-            row = self._missing[address]
-            row.pause_s = min(_LONGEST_PROBE_S, 2 * row.pause_s)
+            row = self._unresponsive[address]
+            row.pause_s = min(_MAX_PROBE_DELAY_S, 2 * row.pause_s)
             row.probe_at = now + row.pause_s
         return due
 
--- a/magnolialug/owners/pendingqueries.py
+++ b/magnolialug/owners/pendingqueries.py
@@ -1,4 +1,4 @@
-"""PendingQueries to owners, and the answers that come in time."""
+"""Sends queries to owners and collects the replies that arrive in time."""
 
 import itertools
 from collections.abc import Callable, Iterable, Mapping
@@ -10,31 +10,31 @@
 from magnolialug.carrier.pool import Address
 from magnolialug.owners.ownerring import OwnerRing
 
-__all__ = ["Answer", "PendingQueries"]
+__all__ = ["Reply", "PendingQueries"]
 
-# Answers come within two crossings between zones and a turn of the owner's
-# loop, 1 to 4 ms. A request whose owner is dead waits this long once, a
-# twentieth of the shortest target; the owner is left out for a while then.
-_TIMEOUT_S = 0.015
+# A reply takes a round trip between zones and one iteration of the owner's
+# event loop, 1 to 4 ms. A request whose owner is dead waits this long once, a
+# twentieth of the shortest target; the owner is then excluded for a while.
+_REPLY_TIMEOUT_S = 0.015
 
 
-class Answer(Protocol):
-    """An owner's message that names the question."""
+class Reply(Protocol):
+    """An owner's message with the number of the query."""
 
     number: int
 
 
-class _Open:
-    """A question whose answers have not all come."""
+class _PendingQuery:
+    """A query to some owners that have not all replied."""
 
     def __init__(self, owners: Iterable[Address]):
         self.missing = set(owners)
-        self.answers: list[Any] = []
+        self.replies: list[Any] = []
         self.done: Deferred[None] = Deferred()
 
 
 class PendingQueries:
-    """Sends one question to several owners, and waits a moment for each.
+    """Sends one query to several owners and waits briefly for the replies.
 
     Args:
       send: sends a message to an entry.
@@ -50,40 +50,43 @@
         self._send = send
         self._clock = clock
         self._numbers = itertools.count(1)
-        self._open: dict[int, _Open] = {}
+        self._pending: dict[int, _PendingQuery] = {}
 
     async def ask(
         self, owners: Mapping[Address, Callable[[int], Any]]
     ) -> list[Any]:
-        """Returns the answers of those owners that give one.
+        """Returns the replies that arrive before the timeout.
 
         Args:
-          owners: for each the question, made from its number.
+          owners: for each owner, a function that makes the query from its
+            number.
         """
         if not owners:
             return []
         number = next(self._numbers)
-        question = self._open[number] = _Open(owners)
+        pending = self._pending[number] = _PendingQuery(owners)
         for owner, message in owners.items():
             self._send(message(number), owner)
-        timer = self._clock.callLater(_TIMEOUT_S, question.done.callback, None)
+        timer = self._clock.callLater(
+            _REPLY_TIMEOUT_S, pending.done.callback, None
+        )
         try:
-            await question.done
+            await pending.done
         finally:
-            del self._open[number]
+            del self._pending[number]
             if timer.active():
                 timer.cancel()
-        for owner in question.missing:
-            self._ring.missed(owner)
-        return question.answers
-
-    def answered(self, answer: Answer, owner: Address) -> None:
-        """Takes an owner's answer."""
-        self._ring.heard(owner)
-        question = self._open.get(answer.number)
-        if question is None:
+        for owner in pending.missing:
+            self._ring.mark_unresponsive(owner)
+        return pending.replies
+
+    def on_reply(self, reply: Reply, owner: Address) -> None:
+        """Processes an owner's reply."""
+        self._ring.mark_responsive(owner)
+        pending = self._pending.get(reply.number)
+        if pending is None:
             return
-        question.answers.append(answer)
-        question.missing.discard(owner)
-        if not question.missing and not question.done.called:
-            question.done.callback(None)
+        pending.replies.append(reply)
+        pending.missing.discard(owner)
+        if not pending.missing and not pending.done.called:
+            pending.done.callback(None)
--- a/magnolialug/owners/wiring.py
+++ b/magnolialug/owners/wiring.py
@@ -1,4 +1,4 @@
-"""Wires the shared load ledgers of endpoints: owners and their clients."""
+"""Connects the owners of endpoints and their clients."""
 
 import secrets
 from collections.abc import Callable, Mapping
@@ -12,8 +12,8 @@
 from magnolialug.owners.admissionqueues import AdmissionQueues
 from magnolialug.owners.dissemination import (
     Dissemination,
-    EvacuationBelief,
-    RolloutBelief,
+    EvacuationState,
+    RolloutState,
 )
 from magnolialug.owners.ledgers import EndpointFacts, Ledgers
 from magnolialug.owners.ledgerservice import LedgerService
@@ -31,30 +31,32 @@
 from magnolialug.owners.pendingqueries import PendingQueries
 from magnolialug.policy.sharedload import WorkShare
 
-__all__ = ["Beliefs", "Ownership", "Talk"]
+__all__ = ["LocalState", "Ownership", "Messenger"]
 
-_NAME_BYTES = 4
-# Of a query that only probes the owner.
-_NO_NUMBER = 0
-# Ledgers of endpoints that are gone are dropped this often.
-_CLEAN_S = 1.0
+_ENTRY_NAME_BYTES = 4
+# The number of a query that only probes the owner.
+_PROBE_NUMBER = 0
+# Interval at which ledgers of endpoints that are gone are dropped.
+_CLEANUP_INTERVAL_S = 1.0
 
 
-class Talk(Protocol):
-    """Brings messages to entries."""
+class Messenger(Protocol):
+    """Sends messages to entries and dispatches received ones."""
 
-    def takes(self, form: type, take: Callable[[Any, Address], None]) -> None:
-        """Names who takes messages of a type, and from whom they come."""
+    def register_handler(
+        self, message_type: type, handler: Callable[[Any, Address], None]
+    ) -> None:
+        """Sets the handler of a message type; it also receives the sender."""
 
     def send(self, message: Any, to: Address) -> None:
         """Sends a message to one entry."""
 
 
-class Beliefs(RolloutBelief, Protocol):
-    """What this entry's own process believes of the endpoints."""
+class LocalState(RolloutState, Protocol):
+    """The last known state of endpoints in this entry's own process."""
 
     def facts(self, endpoint: EndpointId) -> EndpointFacts | None:
-        """Returns what an owner must know, None if it is not listed."""
+        """Returns an endpoint's state, None if it is not listed."""
 
     def share(self, endpoint: EndpointId) -> WorkShare | None:
         """Returns this entry's work at an endpoint, None if it is gone."""
@@ -63,9 +65,9 @@
 class Ownership:
     """Connects the clients in this entry to the owners of endpoints.
 
-    Each endpoint has one owner among the entries. All report their work at the
-    endpoint to it and query it when they choose, so that the messages of an
-    entry grow with its own requests and not with the fleet.
+    Each endpoint has one owner among the entries. All entries report their work
+    at the endpoint to the owner and query it before they choose. So the
+    messages of an entry grow with its own requests and not with the fleet.
 
     Args:
       me: this entry's own address.
@@ -74,59 +76,63 @@
     def __init__(
         self,
         me: Address,
-        beliefs: Beliefs,
-        evacuations: EvacuationBelief,
-        talk: Talk,
+        local_state: LocalState,
+        evacuations: EvacuationState,
+        messenger: Messenger,
         clock: IReactorTime,
     ):
-        entry = secrets.token_hex(_NAME_BYTES)
-        dissemination = Dissemination(beliefs, evacuations, clock.seconds)
+        entry = secrets.token_hex(_ENTRY_NAME_BYTES)
+        dissemination = Dissemination(local_state, evacuations, clock.seconds)
         self.ring = OwnerRing(me, clock.seconds)
-        self._ledgers = Ledgers(beliefs.facts)
+        self._ledgers = Ledgers(local_state.facts)
         self.ledger_service = LedgerService(
             self._ledgers, dissemination, clock.seconds
         )
-        self.admission_queues = AdmissionQueues(self._ledgers, talk.send, clock)
-        self.pending_queries = PendingQueries(self.ring, talk.send, clock)
+        self.admission_queues = AdmissionQueues(
+            self._ledgers, messenger.send, clock
+        )
+        self.pending_queries = PendingQueries(self.ring, messenger.send, clock)
         self.load_queries = LoadQueryClient(
             entry, self.ring, self.pending_queries, dissemination
         )
         self.load_reporter = LoadReporter(
             entry,
             self.ring,
-            beliefs.share,
+            local_state.share,
             dissemination.recent,
-            talk.send,
+            messenger.send,
             clock,
         )
         self.admission_client = AdmissionClient(
-            entry, self.ring, talk.send, clock
+            entry, self.ring, messenger.send, clock
+        )
+        self._cleanup_at = 0.0
+        self._messenger = messenger
+        messenger.register_handler(LoadQuery, self._query)
+        messenger.register_handler(LoadReply, self.pending_queries.on_reply)
+        messenger.register_handler(
+            AdmissionReply, self.admission_client.on_reply
         )
-        self._clean_at = 0.0
-        self._talk = talk
-        talk.takes(LoadQuery, self._query)
-        talk.takes(LoadReply, self.pending_queries.answered)
-        talk.takes(AdmissionReply, self.admission_client.on_reply)
-        talk.takes(
+        messenger.register_handler(
             Dequeue, lambda message, _: self.admission_queues.dequeue(message)
         )
-        talk.takes(Enqueue, self.admission_queues.enqueue)
-        talk.takes(
+        messenger.register_handler(Enqueue, self.admission_queues.enqueue)
+        messenger.register_handler(
             LoadReport, lambda report, _: self.ledger_service.record(report)
         )
 
     def entries(self, weights: Mapping[Address, float]) -> None:
-        """Takes the registered entries, with the cores that each has."""
+        """Sets the registered entries, with the cores of each."""
         if self.ring.entries(weights):
-            self.load_reporter.moved()
+            self.load_reporter.owners_changed()
 
     def tick(self, now: float) -> None:
-        """Repeats reports and drops what is old."""
+        """Repeats reports, probes owners, and drops expired ledgers."""
         self.load_reporter.tick(now)
-        for address in self.ring.due():
-            self._talk.send(LoadQuery("", _NO_NUMBER, ()), address)
-        if now >= self._clean_at:
-            self._clean_at = now + _CLEAN_S
+        for address in self.ring.due_probes():
+            self._messenger.send(LoadQuery("", _PROBE_NUMBER, ()), address)
+        if now >= self._cleanup_at:
+            self._cleanup_at = now + _CLEANUP_INTERVAL_S
             self._ledgers.forget_old(now)
 
     def stop(self) -> None:
@@ -136,4 +142,4 @@
         self.admission_queues.stop()
 
     def _query(self, query: LoadQuery, client: Address) -> None:
-        self._talk.send(self.ledger_service.answer(query), client)
+        self._messenger.send(self.ledger_service.answer(query), client)
--- a/magnolialug/prefixcache/wiring.py
+++ b/magnolialug/prefixcache/wiring.py
@@ -6,7 +6,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from magnolialug.config.routing import Routing
-from magnolialug.owners.wiring import Ownership, Talk
+from magnolialug.owners.wiring import Messenger, Ownership
 from magnolialug.platform.cachecalls import CacheCalls
 from magnolialug.policy.oldweights import EngineWeights
 from magnolialug.policy.storemap import StoreMap
@@ -44,7 +44,7 @@
         calls: CacheCalls,
         newest: Callable[[str], int],
         engines: Callable[[], Iterable[EngineWeights]],
-        talk: Talk,
+        talk: Messenger,
         clock: IReactorTime,
         random: Random,
     ):
@@ -64,12 +64,14 @@
             self.watch, calls, clock.seconds, engines
         )
         service = StoreIndexService(self.watch.index, clock.seconds)
-        talk.takes(
+        talk.register_handler(
             PartQuery, lambda ask, owner: talk.send(service.ask(ask), owner)
         )
-        talk.takes(SaveNotice, lambda save, _: service.save(save))
-        talk.takes(SaveCancelled, lambda cancel, _: service.cancel_save(cancel))
-        talk.takes(PartReply, owners.pending_queries.answered)
+        talk.register_handler(SaveNotice, lambda save, _: service.save(save))
+        talk.register_handler(
+            SaveCancelled, lambda cancel, _: service.cancel_save(cancel)
+        )
+        talk.register_handler(PartReply, owners.pending_queries.on_reply)
 
     def configure(self, routing: Routing) -> None:
         """Takes the stores of a configuration."""
--- a/magnolialug/quarantine/wiring.py
+++ b/magnolialug/quarantine/wiring.py
@@ -8,7 +8,7 @@
 from magnolialug.events import Event, emit
 from magnolialug.ids import EndpointId, RequestDigest
 from magnolialug.owners.ownerring import OwnerRing
-from magnolialug.owners.wiring import Talk
+from magnolialug.owners.wiring import Messenger
 from magnolialug.platform.kv import Kv
 from magnolialug.policy.answered import Answered
 from magnolialug.policy.crashcounter import CrashCounter, Term
@@ -52,7 +52,7 @@
     def __init__(
         self,
         owners: OwnerRing,
-        talk: Talk,
+        talk: Messenger,
         kv: Kv,
         clock: IReactorTime,
         on_quarantined: Callable[[RequestDigest], None],
@@ -70,11 +70,15 @@
             lambda digest: owners.owner(digest) == owners.me,
             on_quarantined,
         )
-        talk.takes(CrashReport, lambda report, _: self._count(report))
-        talk.takes(
+        talk.register_handler(
+            CrashReport, lambda report, _: self._count(report)
+        )
+        talk.register_handler(
             Survived, lambda told, _: self._counter.survived(told.digest)
         )
-        talk.takes(Quarantined, lambda told, _: self.written.told(told))
+        talk.register_handler(
+            Quarantined, lambda told, _: self.written.told(told)
+        )
 
     def refusal(self, digest: RequestDigest) -> Failure | None:
         """Returns why a request may go to no endpoint, None if it may."""
@@ -95,7 +99,7 @@
         self._answered.add(digest)
         if self._reported and digest in self._reported:
             del self._reported[digest]
-            for owner in self._owners.first(digest):
+            for owner in self._owners.owner_candidates(digest):
                 self._talk.send(Survived(digest), owner)
 
     def tick(self, now: float) -> None:
@@ -111,7 +115,10 @@
                 continue
             self._reported[loss.digest] = None
             # Its own too: an entry that is cut off still counts.
-            for owner in {self._owners.me, *self._owners.first(loss.digest)}:
+            for owner in {
+                self._owners.me,
+                *self._owners.owner_candidates(loss.digest),
+            }:
                 by_owner.setdefault(owner, []).append(loss)
         while len(self._reported) > _MOST_REPORTED:
             del self._reported[next(iter(self._reported))]
--- a/tests/entry/test_watch_client.py
+++ b/tests/entry/test_watch_client.py
@@ -116,10 +116,10 @@
         self.kv.lose_watches()
         self.kv.faults.down = True
         self.pass_time(2)
-        self.assertFalse(self.watch_client.in_touch)
+        self.assertFalse(self.watch_client.is_connected)
         self.kv.faults.down = False
         self.pass_time(2)
-        self.assertTrue(self.watch_client.in_touch)
+        self.assertTrue(self.watch_client.is_connected)
 
     def test_a_service_that_was_never_reached_is_logged(self):
         """Guards against a process that refuses all, and does not say why."""
@@ -153,7 +153,7 @@
         self.pass_time(10)
         self.kv.faults.unreachable = False
         self.pass_time(0.26)
-        self.assertTrue(self.watch_client.in_touch)
+        self.assertTrue(self.watch_client.is_connected)
 
     def test_checks_of_a_quiet_watch_do_not_end_it(self):
         """A check is cheap; a watch that is asked anew is not."""
@@ -218,7 +218,7 @@
         self.pass_time(1)
         self.kv._remove("a/0")
         self.pass_time(30)
-        self.assertTrue(self.watch_client.in_touch)
+        self.assertTrue(self.watch_client.is_connected)
         self.assertNotIn("a/0", self.seen.at)
 
     def test_pages_are_read_again_after_a_change(self):
--- a/tests/owners/fleet.py
+++ b/tests/owners/fleet.py
@@ -1,4 +1,4 @@
-"""Entries that keep ledgers for each other, on a network in memory."""
+"""A fleet of entries that own ledgers, on an in-memory network."""
 
 from collections import Counter
 
@@ -18,25 +18,25 @@
 
 
 class Entry:
-    """One entry: its work at the engines, and its owners."""
+    """One entry, with its work at the engines."""
 
     def __init__(self, fleet, number):
         self.fleet = fleet
         self.address = (f"10.0.{number // 250}.{number % 250}", 7000)
         self.work = {}
-        self.heard_ms = self.oldest_ms = 0
+        self.last_byte_ms = self.oldest_ms = 0
         self.rollout = None
         self.rollout_at = float("-inf")
-        self.takers = {}
+        self.handlers = {}
         self.alive = True
         self.bytes = 0
         self.messages = Counter()
-        self.known = EvacuatedZones()
-        self.known_at = float("-inf")
+        self.current = EvacuatedZones()
+        self.changed_at = float("-inf")
         self.owners = Ownership(self.address, self, self, self, fleet.clock)
 
     def facts(self, endpoint):
-        """Returns what is known of an engine."""
+        """Returns the state of an engine, None if it is not listed."""
         if endpoint not in self.fleet.engines:
             return None
         return EndpointFacts(
@@ -52,26 +52,26 @@
             reading,
             held,
             running,
-            self.heard_ms,
+            self.last_byte_ms,
             self.oldest_ms,
             self.fleet.born_ms,
         )
 
     def rolls_out(self, rollout):
-        """Takes a rollout."""
+        """Applies a rollout if it is newer."""
         if self.rollout is None or rollout.number > self.rollout.number:
             self.rollout = rollout
             self.rollout_at = self.fleet.clock.seconds()
 
-    def hear(self, evacuated):
-        """Takes evacuated zones."""
-        if evacuated.revision > self.known.revision:
-            self.known = evacuated
-            self.known_at = self.fleet.clock.seconds()
+    def update_from_peer(self, evacuated):
+        """Applies evacuated zones if their revision is later."""
+        if evacuated.revision > self.current.revision:
+            self.current = evacuated
+            self.changed_at = self.fleet.clock.seconds()
 
-    def takes(self, form, take):
-        """Names who takes messages of a type."""
-        self.takers[form] = take
+    def register_handler(self, message_type, handler):
+        """Sets the handler of a message type."""
+        self.handlers[message_type] = handler
 
     def send(self, message, to):
         """Sends a message; the network may lose it."""
@@ -80,62 +80,64 @@
         if to != self.address:
             self.bytes += len(msgspec.msgpack.encode(message))
             self.messages[type(message).__name__] += 1
-        self.fleet.carry(self, message, to)
+        self.fleet.deliver(self, message, to)
 
-    def take(self, message, sender):
-        """Takes a message."""
+    def receive(self, message, sender):
+        """Passes a message to its handler."""
         if self.alive:
-            self.takers[type(message)](message, sender)
+            self.handlers[type(message)](message, sender)
 
-    def sends(self, endpoint, unread=12_000, held=12_000, placement=None):
+    def start_request(
+        self, endpoint, unread=12_000, held=12_000, placement=None
+    ):
         """Sends a request to an engine."""
         running, before, kept = self.work.get(endpoint, (0, 0, 0))
         self.work[endpoint] = (running + 1, before + unread, kept + held)
         self.owners.load_reporter.sent(EndpointId(endpoint), placement)
 
-    def ends(self, endpoint):
-        """Learns that all requests at an engine are over."""
+    def end_requests(self, endpoint):
+        """Ends all requests at an engine."""
         self.work.pop(endpoint, None)
         self.owners.load_reporter.changed(EndpointId(endpoint))
 
 
 class Fleet:
-    """Entries, engines and what lies between."""
+    """Entries, engines and the network between them."""
 
     def __init__(self, clock, entries, engines):
         self.clock = clock
         self.born_ms = 0
         self.engines = [EndpointId(f"i-{n}") for n in range(engines)]
-        self.loses = lambda sender, to: False
+        self.is_lost = lambda sender, to: False
         self.entries = {}
         self.latency_s = LATENCY_S
         for number in range(entries):
-            self.join(number)
-        self.agree()
+            self.add_entry(number)
+        self.sync_entries()
 
-    def join(self, number):
+    def add_entry(self, number):
         """Starts an entry."""
         entry = Entry(self, number)
         self.entries[entry.address] = entry
         return entry
 
-    def agree(self):
-        """Tells all entries who is registered."""
+    def sync_entries(self):
+        """Passes the registered entries to all entries."""
         weights = dict.fromkeys(self.entries, 1.0)
         for entry in self.entries.values():
             entry.owners.entries(weights)
 
-    def carry(self, sender, message, to):
-        """Brings a message to its receiver."""
+    def deliver(self, sender, message, to):
+        """Delivers a message to its receiver, unless it is lost."""
         receiver = self.entries.get(to)
-        if receiver is not None and not self.loses(sender.address, to):
+        if receiver is not None and not self.is_lost(sender.address, to):
             delay_s = 0 if to == sender.address else self.latency_s
             self.clock.callLater(
-                delay_s, receiver.take, message, sender.address
+                delay_s, receiver.receive, message, sender.address
             )
 
     def pass_time(self, seconds, step=0.005):
-        """Lets time pass, with all entries' ticks."""
+        """Advances the clock, with the ticks of all entries."""
         for _ in range(max(1, round(seconds / step))):
             self.clock.advance(step)
             now = self.clock.seconds()
@@ -144,7 +146,7 @@
                     entry.owners.tick(now)
 
     def ask(self, entry, endpoints, parts=(), salt=""):
-        """Returns what the owners tell an entry."""
+        """Returns the states that the owners report to an entry."""
         found = []
         rows = [QueriedEndpoint(name, salt) for name in endpoints]
         fut = ensureDeferred(entry.owners.load_queries.ask(rows, tuple(parts)))
@@ -153,6 +155,6 @@
         return found[0]
 
     def owner(self, endpoint):
-        """Returns the entry that all others take for an engine's owner."""
+        """Returns the entry that owns an engine."""
         first = next(iter(self.entries.values()))
         return self.entries[first.owners.ring.owner(endpoint)]
--- a/tests/owners/test_admission_client.py
+++ b/tests/owners/test_admission_client.py
@@ -1,4 +1,4 @@
-"""Prompts that wait on the lists of several engines."""
+"""Prompts that wait in the queues of several engines."""
 
 from testtools import TestCase
 from twisted.internet.task import Clock
@@ -10,22 +10,24 @@
 
 
 class AdmissionClientTest(TestCase):
-    """The first engine with room takes the prompt."""
+    """A prompt is admitted by the first engine with free memory."""
 
     def setUp(self):
         super().setUp()
         self.fleet = Fleet(Clock(), 6, 4)
         self.entries = list(self.fleet.entries.values())
-        self.turns = []
+        self.results = []
 
     def fill(self, *engines):
         """Fills engines with another entry's work."""
         for engine in engines:
-            self.entries[0].sends(engine, unread=0, held=MEMORY)
+            self.entries[0].start_request(engine, unread=0, held=MEMORY)
         self.fleet.pass_time(0.02)
 
-    def wait(self, entry=None, engines=("i-0", "i-1"), tokens=12_000, **times):
-        """Puts a prompt on some lists; its turn goes to `turns`."""
+    def enqueue_prompt(
+        self, entry=None, engines=("i-0", "i-1"), tokens=12_000, **times
+    ):
+        """Adds a prompt to some queues; its result goes to `results`."""
         now = self.fleet.clock.seconds()
         waiting = Waiting(
             number=0,
@@ -33,98 +35,104 @@
             target_at=now + times.get("target_s", 0.6),
             ends_at=now + times.get("ends_s", 1.4),
         )
-        bids = [AdmissionRequest(engine, tokens, tokens) for engine in engines]
+        requests = [
+            AdmissionRequest(engine, tokens, tokens) for engine in engines
+        ]
         entry = entry or self.entries[1]
-        turn = entry.owners.admission_client.enqueue(waiting, bids, ahead_s=0.5)
-        turn.addCallback(self.turns.append)
-        turn.addErrback(lambda reason: None)
+        result = entry.owners.admission_client.enqueue(
+            waiting, requests, ahead_s=0.5
+        )
+        result.addCallback(self.results.append)
+        result.addErrback(lambda reason: None)
         self.fleet.pass_time(0.01)
-        return turn
+        return result
 
-    def places(self):
-        """Returns how many places are taken on all lists."""
+    def place_count(self):
+        """Returns the number of places taken in all queues."""
         return sum(
             entry.owners.admission_queues.waiting for entry in self.entries
         )
 
-    def test_it_goes_where_room_comes_first(self):
+    def test_a_prompt_is_admitted_by_the_first_engine_with_memory(self):
         self.fill("i-0", "i-1")
-        self.wait()
+        self.enqueue_prompt()
         self.fleet.pass_time(0.3)
-        self.assertEqual(([], 2), (self.turns, self.places()))
-        self.entries[0].ends("i-1")
+        self.assertEqual(([], 2), (self.results, self.place_count()))
+        self.entries[0].end_requests("i-1")
         self.fleet.pass_time(0.06)
-        self.assertEqual((["i-1"], 0), (self.turns, self.places()))
+        self.assertEqual((["i-1"], 0), (self.results, self.place_count()))
 
-    def test_room_for_one_is_given_to_one(self):
-        """Sixty-eight lists see the same room at the same moment.
+    def test_memory_for_one_prompt_admits_one_prompt(self):
+        """Several entries have prompts for the same free memory.
 
-        Symptom: engines are given several times what their memory holds.
-        Cause: each entry let its own prompts go by what it believed.
+        Guards against engines that get several times as many prompts as their
+        memory holds. With 68 entries that each admitted prompts by their own
+        estimate, all saw the same free memory at the same time.
         """
         self.fill("i-0")
         for entry in self.entries[1:]:
-            self.wait(entry, engines=("i-0",), tokens=100_000)
-        self.entries[0].ends("i-0")
+            self.enqueue_prompt(entry, engines=("i-0",), tokens=100_000)
+        self.entries[0].end_requests("i-0")
         self.fleet.pass_time(0.05)
-        self.assertEqual(["i-0"], self.turns)
+        self.assertEqual(["i-0"], self.results)
 
-    def test_a_promise_that_is_not_used_lapses(self):
+    def test_an_unused_reservation_expires(self):
         self.fill("i-0")
         first, second = self.entries[1:3]
-        self.wait(first, engines=("i-0",), tokens=100_000)
+        self.enqueue_prompt(first, engines=("i-0",), tokens=100_000)
         first.alive = False
-        self.wait(second, engines=("i-0",), tokens=100_000)
-        self.entries[0].ends("i-0")
+        self.enqueue_prompt(second, engines=("i-0",), tokens=100_000)
+        self.entries[0].end_requests("i-0")
         self.fleet.pass_time(0.2)
-        self.assertEqual(["i-0"], self.turns)
+        self.assertEqual(["i-0"], self.results)
 
-    def test_who_leaves_is_taken_from_all_lists(self):
+    def test_a_cancelled_prompt_leaves_all_queues(self):
         self.fill("i-0", "i-1")
-        turn = self.wait()
-        turn.cancel()
+        result = self.enqueue_prompt()
+        result.cancel()
         self.fleet.pass_time(0.01)
-        self.assertEqual(0, self.places())
+        self.assertEqual(0, self.place_count())
         self.assertEqual(0, self.entries[1].owners.admission_client.waiting)
 
-    def test_who_is_not_let_go_in_time_is_refused(self):
+    def test_a_prompt_not_admitted_in_time_is_refused(self):
         self.fill("i-0", "i-1")
-        self.wait(ends_s=0.5)
+        self.enqueue_prompt(ends_s=0.5)
         self.fleet.pass_time(0.8)
-        (refused,) = self.turns
+        (refused,) = self.results
         self.assertIsInstance(refused, Failure)
         self.assertEqual(Code.NO_ROOM, refused.code)
-        self.assertEqual(0, self.places())
+        self.assertEqual(0, self.place_count())
 
-    def test_who_waits_goes_on_when_a_home_dies(self):
-        """The owner of an engine dies while prompts wait there.
+    def test_a_prompt_is_placed_again_when_the_owner_dies(self):
+        """The owner of an engine dies while prompts wait in its queue.
 
-        Symptom: they are refused after a second although other engines have
-        room. Cause: only an owner's word ended the wait.
+        Guards against prompts refused after a second although other engines
+        have free memory. The fault was that only a reply of the owner ended the
+        wait.
         """
         self.fill("i-0")
         owner = self.fleet.owner("i-0")
         entry = next(e for e in self.entries[1:] if e is not owner)
-        self.wait(entry, engines=("i-0",))
+        self.enqueue_prompt(entry, engines=("i-0",))
         owner.alive = False
         self.fleet.pass_time(0.8)
-        self.assertEqual([None], self.turns)
+        self.assertEqual([None], self.results)
 
-    def test_an_engine_that_is_gone_is_not_waited_for(self):
+    def test_the_queue_of_a_removed_engine_is_left(self):
         self.fill("i-0", "i-1")
-        self.wait()
+        self.enqueue_prompt()
         self.fleet.engines.remove("i-0")
         self.fleet.pass_time(0.3)
-        self.assertEqual(([], 1), (self.turns, self.places()))
+        self.assertEqual(([], 1), (self.results, self.place_count()))
         self.fleet.engines.remove("i-1")
         self.fleet.pass_time(0.3)
-        self.assertEqual([None], self.turns)
+        self.assertEqual([None], self.results)
 
-    def test_lost_words_are_said_again(self):
+    def test_lost_messages_are_repeated(self):
         self.fill("i-0")
-        self.fleet.loses = lambda sender, to: True
-        self.wait(engines=("i-0",))
-        self.fleet.loses = lambda sender, to: False
-        self.entries[0].ends("i-0")
+        self.fleet.is_lost = lambda sender, to: True
+        self.enqueue_prompt(engines=("i-0",))
+        self.fleet.is_lost = lambda sender, to: False
+        self.entries[0].end_requests("i-0")
         self.fleet.pass_time(0.5)
-        self.assertEqual(["i-0"], self.turns)
+        self.assertEqual(["i-0"], self.results)
--- a/tests/owners/test_dissemination.py
+++ b/tests/owners/test_dissemination.py
@@ -1,9 +1,9 @@
-"""News of the key-value service on the messages between entries."""
+"""Announcements of the key-value service in messages between entries."""
 
 from testtools import TestCase
 
 from magnolialug.owners.dissemination import Dissemination
-from magnolialug.owners.messages import Known, News
+from magnolialug.owners.messages import Announcements, KnownVersions
 from magnolialug.policy.evacuation import EvacuatedZones
 from magnolialug.policy.rollout import Rollout
 from tests.owners.test_owners import fleet_of
@@ -14,51 +14,55 @@
 
 
 class DisseminationTest(TestCase):
-    """Guards against an entry that is cut off and hears nothing from others."""
+    """An entry without access to the service gets announcements from others."""
 
     def setUp(self):
         super().setUp()
         self.fleet = fleet_of()
-        self.knowing, self.cut_off = list(self.fleet.entries.values())[:2]
-        self.knowing.hear(ZONES)
-        self.knowing.rolls_out(ROLLOUT)
-        self.news = self.of(self.knowing)
+        self.informed, self.disconnected = list(self.fleet.entries.values())[:2]
+        self.informed.update_from_peer(ZONES)
+        self.informed.rolls_out(ROLLOUT)
+        self.dissemination = self.dissemination_of(self.informed)
 
-    def of(self, entry):
-        """Returns what an entry adds to its messages."""
+    def dissemination_of(self, entry):
+        """Returns the dissemination of an entry's announcements."""
         return Dissemination(entry, entry, self.fleet.clock.seconds)
 
-    def test_a_query_that_knows_less_is_told(self):
-        known = Known(rollout=6, evacuated=19)
-        self.assertEqual(News(ROLLOUT, ZONES), self.news.newer_than(known))
+    def test_an_older_query_gets_the_announcements(self):
+        known = KnownVersions(rollout=6, evacuated=19)
+        self.assertEqual(
+            Announcements(ROLLOUT, ZONES), self.dissemination.newer_than(known)
+        )
 
-    def test_a_query_that_knows_as_much_is_told_nothing(self):
-        known = self.news.known()
-        self.assertEqual(Known(7, 20), known)
-        self.assertEqual(News(), self.news.newer_than(known))
+    def test_an_up_to_date_query_gets_no_announcements(self):
+        known = self.dissemination.known_versions()
+        self.assertEqual(KnownVersions(7, 20), known)
+        self.assertEqual(Announcements(), self.dissemination.newer_than(known))
 
-    def test_reports_carry_what_was_learned_lately(self):
-        self.assertEqual(News(ROLLOUT, ZONES), self.news.recent())
+    def test_reports_carry_recent_announcements(self):
+        self.assertEqual(
+            Announcements(ROLLOUT, ZONES), self.dissemination.recent()
+        )
         self.fleet.clock.advance(RECENT_S)
-        self.assertEqual(News(), self.news.recent())
+        self.assertEqual(Announcements(), self.dissemination.recent())
 
-    def test_an_entry_hears_it_with_the_reply_to_its_next_query(self):
+    def test_an_entry_gets_announcements_with_a_reply(self):
         engine = next(
             f"i-{number}"
             for number in range(100)
-            if self.fleet.owner(f"i-{number}") is self.knowing
+            if self.fleet.owner(f"i-{number}") is self.informed
         )
-        self.fleet.ask(self.cut_off, [engine])
-        self.assertEqual(ZONES, self.cut_off.known)
-        self.assertEqual(ROLLOUT, self.cut_off.rollout)
+        self.fleet.ask(self.disconnected, [engine])
+        self.assertEqual(ZONES, self.disconnected.current)
+        self.assertEqual(ROLLOUT, self.disconnected.rollout)
 
-    def test_an_owner_hears_it_with_the_next_report(self):
+    def test_an_owner_gets_announcements_with_a_report(self):
         engine = next(
             f"i-{number}"
             for number in range(100)
-            if self.fleet.owner(f"i-{number}") is self.cut_off
+            if self.fleet.owner(f"i-{number}") is self.disconnected
         )
-        self.knowing.sends(engine)
+        self.informed.start_request(engine)
         self.fleet.pass_time(0.1)
-        self.assertEqual(ZONES, self.cut_off.known)
-        self.assertEqual(ROLLOUT, self.cut_off.rollout)
+        self.assertEqual(ZONES, self.disconnected.current)
+        self.assertEqual(ROLLOUT, self.disconnected.rollout)
--- a/tests/soak/sabotaged.py
+++ b/tests/soak/sabotaged.py
@@ -7,7 +7,7 @@
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.gatewaysink import GatewaySink
 from magnolialug.entry.registry import Registry
-from magnolialug.entry.routebook import RouteBook
+from magnolialug.entry.routeconfig import RouteConfig
 from magnolialug.policy.coldstart import ColdStart
 from magnolialug.quarantine.wiring import Quarantine
 
@@ -24,7 +24,7 @@
 
 def go_back():
     """Takes the configuration before for the one in force, after a while."""
-    configure = RouteBook._configure
+    configure = RouteConfig._configure
 
     def forgetful(self, value):
         before = self.table
@@ -34,7 +34,7 @@
 
             reactor.callLater(1.0, setattr, self, "table", before)
 
-    RouteBook._configure = forgetful
+    RouteConfig._configure = forgetful
 
 
 def look_whole():
@@ -54,7 +54,7 @@
 
 def cling():
     """Believes no removal of an endpoint's entry."""
-    Registry._doubtful = lambda _: True
+    Registry._is_uncertain = lambda _: True
 
 
 def rush():
