--- a/magnolialug/entry/admissionrules.py
+++ b/magnolialug/entry/admissionrules.py
@@ -1,38 +1,43 @@
-"""Which prompts wait for an engine's memory, and for how long."""
+"""Rules for queueing large prompts until an engine has free memory."""
 
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.policy.admissionorder import Waiting, patience_s
 
-__all__ = ["ahead_limit_s", "is_large", "waiting_of"]
+__all__ = ["queued_work_limit_s", "is_large", "waiting_prompt"]
 
-# Prompts that take less of an engine's memory never wait for it.
+# Prompts that need less of an engine's memory are sent without queueing.
 _LARGE_SHARE = 0.04
-# Nor is a large prompt sent where reading what is ahead takes more than this
-# share of its target. While it waits it can still go elsewhere; otherwise an
-# engine that has just come back would get all that wait.
-_AHEAD_SHARE = 0.25
-# Leaves time to read the prompt on a busy engine after admission. A prompt that
-# is not admitted by then is refused, so that its caller can come back.
+# A large prompt is not sent to an engine whose queued prefill work takes more
+# than this share of the prompt's latency target. A queued prompt can still go
+# to another engine. Without this limit, an engine that has just come back would
+# get every queued prompt.
+_QUEUED_WORK_SHARE = 0.25
+# Time left after admission for a busy engine to read the prompt. A prompt that
+# is not admitted by then is refused, so that its caller can retry.
 _ADMISSION_MARGIN_S = 1.0
 
 
 def is_large(call: ForwardCall, memory: int) -> bool:
-    """Whether a call waits until an engine of that memory has room for it."""
+    """Whether a call must queue until an engine has room for its prompt.
+
+    Args:
+      memory: the engine's memory in tokens.
+    """
     if call.prompt is None or not memory:
         return False
     return call.prompt.memory_tokens >= _LARGE_SHARE * memory
 
 
-def ahead_limit_s(call: ForwardCall) -> float:
-    """Returns how much may be read first where a large call goes."""
-    return _AHEAD_SHARE * call.route.target_s
+def queued_work_limit_s(call: ForwardCall) -> float:
+    """Returns the most queued prefill work, in seconds, before a large call."""
+    return _QUEUED_WORK_SHARE * call.route.target_s
 
 
-def waiting_of(call: ForwardCall) -> Waiting:
-    """Returns a large call as those see it who let it go."""
+def waiting_prompt(call: ForwardCall) -> Waiting:
+    """Returns a large call as an entry of the admission queue."""
     route = call.route
-    patience = patience_s(route.target_s, route.gap_s)
-    ends_at = min(call.deadline, call.arrived + patience)
+    wait_limit_s = patience_s(route.target_s, route.gap_s)
+    ends_at = min(call.deadline, call.arrived + wait_limit_s)
     return Waiting(
         number=0,
         priority=call.priority,
--- a/magnolialug/entry/app.py
+++ b/magnolialug/entry/app.py
@@ -14,9 +14,9 @@
 from magnolialug.entry.claims import Claims
 from magnolialug.entry.exchange import Exchange
 from magnolialug.entry.fleet import Fleet
-from magnolialug.entry.linkcarrier import LinkCarrier
 from magnolialug.entry.progress import Ended, Progress, Served
-from magnolialug.entry.serving import Means, Serving
+from magnolialug.entry.retryloop import RetryLoop, ServingContext
+from magnolialug.entry.sidecarattemptrunner import SidecarAttemptRunner
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import (
     EndpointId,
@@ -73,9 +73,9 @@
         self.draining = False
         self.in_progress = 0
         self._claims = Claims(kv, clock, random)
-        self._means = Means(
+        self._means = ServingContext(
             budget=Budget(),
-            retried=lambda service: self.metrics.retries.add(1),
+            on_retry=lambda service: self.metrics.retries.add(1),
             clock=clock,
             random=random,
             new_hex=new_hex,
@@ -136,7 +136,7 @@
         self.in_progress += 1
         self._means.budget.deposit(call.service)
         try:
-            result = await Serving(
+            result = await RetryLoop(
                 self._means,
                 call,
                 self._carrier(call, sink),
@@ -148,7 +148,7 @@
         self._count(call, result)
         return result
 
-    async def reread(
+    async def replay(
         self, team: TeamId, request_id: RequestId, after_seq: int, sink: Sink
     ) -> Served | Failure:
         """Streams a kept answer to its own team.
@@ -167,7 +167,7 @@
         exchange = Exchange(call, nothing, upstream, progress, sink, self.clock)
         self.in_progress += 1
         try:
-            end = await exchange.reread(msg.Find(team, request_id, after_seq))
+            end = await exchange.replay(msg.Find(team, request_id, after_seq))
         finally:
             self.in_progress -= 1
         if isinstance(end, Ended):
@@ -175,8 +175,8 @@
             return end.failure if gone else unknown
         return Served(end, progress.seq, 0.0)
 
-    def _carrier(self, call: PromptCall, sink: Sink) -> LinkCarrier:
-        return LinkCarrier(
+    def _carrier(self, call: PromptCall, sink: Sink) -> SidecarAttemptRunner:
+        return SidecarAttemptRunner(
             self._means, self.current, self.fleet, self._claims, call, sink
         )
 
--- a/magnolialug/entry/call.py
+++ b/magnolialug/entry/call.py
@@ -1,4 +1,4 @@
-"""One caller's request, and where its answer goes."""
+"""A caller's request, and the sink of its answer."""
 
 from typing import Protocol
 
@@ -9,17 +9,17 @@
 
 __all__ = ["Call", "PromptCall", "Sink"]
 
-# Completions go to as many endpoints as the wait and the budget allow.
-_ANY_NUMBER = 1000
+# Completions are retried as often as the deadline and retry budget allow.
+_UNLIMITED_ATTEMPTS = 1000
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """A checked request, as retries and placement see it.
+    """A validated request, as used by retries and placement.
 
     Attributes:
-      name: the caller's own id of it, for logs.
+      name: the caller's own id of the request, for logs.
       root: the placement key of the prompt.
-      deadline: when it stops being of use, on the entry's clock.
+      deadline: when its answer stops being useful, on the entry's clock.
       attempts: the most endpoints that it may be sent to.
     """
 
@@ -31,7 +31,7 @@
     deadline: float
     arrived: float
     name: str = ""
-    attempts: int = _ANY_NUMBER
+    attempts: int = _UNLIMITED_ATTEMPTS
 
 
 class PromptCall(Call, frozen=True, kw_only=True):
@@ -52,12 +52,12 @@
 
 
 class Sink(Protocol):
-    """Takes an answer on its way to the caller."""
+    """Writes an answer to the caller."""
 
     gone: bool
 
-    def opened(self, request_id: RequestId) -> None:
-        """Learns the id under which the answer can be asked for."""
+    def set_request_id(self, request_id: RequestId) -> None:
+        """Sets the id by which the answer can be requested again."""
 
-    async def piece(self, seq: int, text: str) -> None:
-        """Takes one piece; returns when the caller has room for more."""
+    async def write_piece(self, seq: int, text: str) -> None:
+        """Writes one piece; returns when the caller can receive more."""
--- a/magnolialug/entry/callstate.py
+++ b/magnolialug/entry/callstate.py
@@ -1,4 +1,4 @@
-"""How far a call has come, for the log lines of those that end early."""
+"""Progress of a call, for the log lines of calls that end early."""
 
 import enum
 
@@ -11,7 +11,7 @@
     """What a call waits for.
 
     UNPLACED: an endpoint.
-    READING: the first piece of its answer; its prompt is queued or read.
+    READING: the first piece of its answer; its prompt is queued or being read.
     WRITING: the rest of its answer.
     """
 
@@ -21,10 +21,11 @@
 
 
 class CallState(msgspec.Struct, frozen=True):
-    """How far a call has come.
+    """The progress of a call.
 
     Attributes:
-      silent_s: time since the endpoint's last byte, or since it was asked.
+      silent_s: time since the endpoint's last byte, or since the request was
+        sent.
     """
 
     phase: Phase
--- a/magnolialug/entry/candidatelist.py
+++ b/magnolialug/entry/candidatelist.py
@@ -1,4 +1,4 @@
-"""Which endpoints are compared for a call, the likely ones first."""
+"""Shortlist of the endpoints that are compared for a call."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,23 +10,23 @@
 
 __all__ = ["CandidateList"]
 
-# Endpoints of a plain service among which those of this availability zone are
-# looked for.
-_PLAIN = 24
-# A prompt may begin this much later than expected and still be in time on
-# weights that will soon be barred: about what the queues here are misjudged by.
-_BEGIN_MARGIN_S = 0.5
+# Size of the shortlist of a plain service, from which endpoints of this
+# availability zone are preferred.
+_PLAIN_SHORTLIST_SIZE = 24
+# Margin for the start of a prompt on weights that will soon be disallowed:
+# about the error of the queue estimates.
+_START_MARGIN_S = 0.5
 
 
 class CandidateList:
-    """Draws a few endpoints of a service for each call.
+    """Selects a few endpoints of a service for each call.
 
-    With thousands of endpoints comparing all of them would cost 15 ms a
+    With thousands of endpoints, comparing all of them would cost 15 ms a
     request.
 
     Args:
-      zone: where this process runs.
-      bounds: until when replaced weights may be used.
+      zone: the availability zone of this process.
+      bounds: when replaced weights stop being usable.
       clock: returns the time in seconds.
     """
 
@@ -45,27 +45,29 @@
     def peers(
         self, call: ForwardCall, avoid: set[EndpointId], count: int
     ) -> list[Peer]:
-        """Returns those of the first endpoints that could take a call.
+        """Returns the usable endpoints among the first `count` on the ring.
 
-        The first ones on the ring are the same at every entry, so a prompt
-        returns to where it was. A plain service keeps nothing, and the ones
-        of this availability zone come first.
+        The ring order is the same at every entry, so a prompt returns to the
+        endpoints that served it before. Plain services keep no state between
+        requests; their endpoints in this availability zone come first.
         """
         root = call.root or call.name
         if call.prompt is None:
-            peers = self._directory.shortlist(call.service, root, _PLAIN)
+            peers = self._directory.shortlist(
+                call.service, root, _PLAIN_SHORTLIST_SIZE
+            )
             peers.sort(key=lambda peer: peer.listed.zone != self._zone)
         else:
             peers = self._directory.shortlist(call.service, root, count)
         return self._usable(call, avoid, peers[:count])
 
-    def named(
+    def usable(
         self,
         call: ForwardCall,
         avoid: set[EndpointId],
         endpoints: Iterable[EndpointId],
     ) -> list[Peer]:
-        """Returns those of some endpoints that could take a call."""
+        """Returns the given endpoints that can take a call."""
         found = (self._directory.peers.get(name) for name in endpoints)
         peers = [peer for peer in found if peer and peer.accepts_work]
         return self._usable(call, avoid, peers)
@@ -84,16 +86,18 @@
             if peer.pool.room
             and peer.cold.may_send(now)
             and peer.listed.endpoint not in avoid
-            and not self._barred(call, peer, now)
+            and not self._weights_expired(call, peer, now)
         ]
 
-    def _barred(self, call: ForwardCall, peer: Peer, now: float) -> bool:
-        """Whether a prompt would begin on weights too old to be of use."""
+    def _weights_expired(
+        self, call: ForwardCall, peer: Peer, now: float
+    ) -> bool:
+        """Whether a prompt would start on weights that are no longer usable."""
         if call.prompt is None or peer.load is None:
             return False
         model = call.prompt.model
-        until = self._bounds.usable_until(model, peer.least_weights(model))
+        until = self._bounds.usable_until(model, peer.min_weights(model))
         if until == float("inf"):
             return False
-        begins = now + peer.load.ahead_s(call.priority)
-        return begins + _BEGIN_MARGIN_S > until
+        starts_at = now + peer.load.ahead_s(call.priority)
+        return starts_at + _START_MARGIN_S > until
--- a/magnolialug/entry/candidateprober.py
+++ b/magnolialug/entry/candidateprober.py
@@ -1,11 +1,11 @@
-"""Probes a call's endpoints: a few at first, more while none is good."""
+"""Queries a call's candidate endpoints in growing rounds."""
 
 from collections.abc import Callable, Mapping
 
 from twisted.internet.defer import CancelledError, ensureDeferred
 
 from magnolialug.entry.candidatelist import CandidateList
-from magnolialug.entry.costs import Costs
+from magnolialug.entry.costestimator import CostEstimator
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.entry.peer import Peer
 from magnolialug.entry.proberesults import ProbeResults
@@ -17,29 +17,30 @@
 
 __all__ = ["CandidateProber"]
 
-# Endpoints that are asked about in each round. Of two or three drawn ones the
-# less busy is nearly as good as the least busy of all while load is spread;
-# when it is not, some further ones are likely to be free.
-_ROUNDS = (3, 9, 24)
-# Beyond the last round only while nothing sound is found, four times as many.
-_GROWTH = 4
+# Shortlist sizes of the successive rounds. While load is spread evenly, the
+# least busy of two or three endpoints is nearly as good as the least busy of
+# all; when it is not, a larger round is likely to find free ones.
+_ROUND_SIZES = (3, 9, 24)
+# Growth factor of the rounds after the last one, which are only made while no
+# healthy endpoint is found.
+_ROUND_GROWTH = 4
 
 
 class CandidateProber:
-    """Collects what is needed for one choice.
+    """Collects the candidates for one placement decision.
 
     Args:
-      shortlist: draws the endpoints.
-      costs: judges what is found.
-      load: queries the owners of endpoints.
-      parts: queries the owners of stores.
+      shortlist: selects the endpoints.
+      costs: estimates the cost of each endpoint.
+      load: queries the owners of endpoints for their load.
+      parts: queries the owners of stores for cached parts.
       clock: returns the time in seconds.
     """
 
     def __init__(
         self,
         shortlist: CandidateList,
-        costs: Costs,
+        costs: CostEstimator,
         load: LoadQueryClient,
         parts: PartQueryClient,
         clock: Callable[[], float],
@@ -53,36 +54,36 @@
     async def probe(
         self, call: ForwardCall, avoid: set[EndpointId]
     ) -> ProbeResults:
-        """Returns what the owners of some endpoints and parts report."""
-        known = ProbeResults()
+        """Returns the candidates and the reports of their owners."""
+        results = ProbeResults()
         peers: dict[EndpointId, Peer] = {}
-        rounds = iter(_ROUNDS)
+        rounds = iter(_ROUND_SIZES)
         while True:
-            known.count = next(rounds, _GROWTH * known.count)
-            listed = self._shortlist.peers(call, avoid, known.count)
-            await self._add(call, listed, known, peers)
-            readers = {row.reader for row in known.stored.values()} - {""}
-            reading = self._shortlist.named(call, avoid, readers)
-            await self._add(call, reading, known, peers)
-            best = choose(known.candidates)
-            if self._is_enough(call, best, peers, known.count):
-                return known
+            results.count = next(rounds, _ROUND_GROWTH * results.count)
+            listed = self._shortlist.peers(call, avoid, results.count)
+            await self._add(call, listed, results, peers)
+            readers = {row.reader for row in results.stored.values()} - {""}
+            reading = self._shortlist.usable(call, avoid, readers)
+            await self._add(call, reading, results, peers)
+            best = choose(results.candidates)
+            if self._is_enough(call, best, peers, results.count):
+                return results
 
     async def _add(
         self,
         call: ForwardCall,
         listed: list[Peer],
-        known: ProbeResults,
+        results: ProbeResults,
         peers: dict[EndpointId, Peer],
     ) -> None:
-        """Asks about those that are new, and adds them to the candidates."""
+        """Queries the endpoints not yet seen and adds them as candidates."""
         fresh = [peer for peer in listed if peer.listed.endpoint not in peers]
-        await self._ask(call, fresh, known)
+        await self._query(call, fresh, results)
         for peer in fresh:
             rank = len(peers) if call.root else 0
             peers[peer.listed.endpoint] = peer
-            known.candidates.append(
-                self._costs.candidate(call, peer, rank, known)
+            results.candidates.append(
+                self._costs.candidate(call, peer, rank, results)
             )
 
     def _is_enough(
@@ -92,43 +93,43 @@
         peers: Mapping[EndpointId, Peer],
         count: int,
     ) -> bool:
-        """Whether no further endpoint is worth a question."""
+        """Whether no further endpoints need to be queried."""
         if best is not None and best.sound:
             peer = peers[best.endpoint]
-            if count >= _ROUNDS[-1]:
+            if count >= _ROUND_SIZES[-1]:
                 return True
-            if best.room and self._costs.content(call, peer):
+            if best.room and self._costs.is_nearly_idle(call, peer):
                 return True
         return self._shortlist.all_listed(call, count)
 
-    async def _ask(
-        self, call: ForwardCall, peers: list[Peer], known: ProbeResults
+    async def _query(
+        self, call: ForwardCall, peers: list[Peer], results: ProbeResults
     ) -> None:
-        """Asks about endpoints, and about parts under salts new among them."""
+        """Queries the load of endpoints and the parts in new namespaces."""
         if not peers:
             return
-        rows, salts, shared = [], set(), ()
+        rows, namespaces, shared = [], set(), ()
         if call.prompt is not None:
             shared = call.prompt.shared
         for peer in peers:
             weights = peer.weights(call.prompt.model) if call.prompt else 0
-            salt = call.salt(weights) if weights else ""
-            rows.append(QueriedEndpoint(peer.listed.endpoint, salt))
-            salts.add(salt)
-        salts -= {"", *(salt for salt, _ in known.stored)}
-        # Both questions are on their way before either answer is waited for.
-        sought = ensureDeferred(self._parts.ask(salts, shared))
+            namespace = call.cache_namespace(weights) if weights else ""
+            rows.append(QueriedEndpoint(peer.listed.endpoint, namespace))
+            namespaces.add(namespace)
+        namespaces -= {"", *(namespace for namespace, _ in results.stored)}
+        # Both queries are sent before either reply is awaited.
+        parts_query = ensureDeferred(self._parts.ask(namespaces, shared))
         try:
             states = await self._load.ask(rows, shared)
-            stored = await sought
+            stored = await parts_query
         except CancelledError:
-            sought.addErrback(lambda reason: reason.trap(CancelledError))
-            sought.cancel()
+            parts_query.addErrback(lambda reason: reason.trap(CancelledError))
+            parts_query.cancel()
             raise
-        known.states.update(states)
-        known.stored.update(stored)
+        results.states.update(states)
+        results.stored.update(stored)
         now = self._clock()
         for peer in peers:
             state = states.get(peer.listed.endpoint)
             if state is not None:
-                peer.told(state, now)
+                peer.apply_shared_state(state, now)
--- a/magnolialug/entry/directory.py
+++ b/magnolialug/entry/directory.py
@@ -22,9 +22,9 @@
 
 __all__ = ["Directory"]
 
-# An engine that is announced to load is left alone for this long at most, in
-# case the announcer dies before it says that the engine is done.
-_LOADING_S = 4.0
+# The longest time that an engine gets no new work after a rollout announces
+# that it loads weights, in case the leader fails before it announces the end.
+_LOADING_TIMEOUT_S = 4.0
 
 
 class Directory:
@@ -32,54 +32,54 @@
 
     Attributes:
       entries: how many entries share the endpoints.
-      rollout: the newest that was told of weights being taken.
-      rollout_at: when it was heard.
+      rollout: the newest known rollout of weights.
+      rollout_received_at: when that rollout was received.
 
     Args:
       reactor: for connections and time.
-      opened: is told of each new connection to an endpoint.
+      on_connect: called for each new connection to an endpoint.
     """
 
     def __init__(
         self,
         reactor,
-        opened: Callable[[], None] = lambda: None,
+        on_connect: Callable[[], None] = lambda: None,
     ):
         self.peers: dict[EndpointId, Peer] = {}
         self.entries = 1
         self._rank = 0
         self.rollout: Rollout | None = None
-        self.rollout_at = float("-inf")
+        self.rollout_received_at = float("-inf")
         self._by_service: dict[ServiceName, list[Peer]] = {}
         self._rings: dict[ServiceName, Ring] = {}
         self._lifetimes = Lifetimes()
         self._routing: Routing | None = None
         self._evacuated: frozenset[ZoneId] = frozenset()
         self._reactor = reactor
-        self._opened = opened
+        self._on_connect = on_connect
 
-    def counted(self, entries: int, rank: int) -> None:
-        """Takes how many entries share the endpoints.
+    def set_entry_count(self, entries: int, rank: int) -> None:
+        """Sets how many entries share the endpoints.
 
         Args:
-          rank: this entry's place among them, from 0.
+          rank: this entry's position among them, from 0.
         """
         self.entries = entries
         self._rank = rank
         for peer in self.peers.values():
-            self._limit(peer)
+            self._apply_limits(peer)
 
     def configure(self, routing: Routing) -> None:
-        """Takes the services' limits of a configuration."""
+        """Applies the services' limits of a configuration."""
         self._routing = routing
         for peer in self.peers.values():
-            self._limit(peer)
+            self._apply_limits(peer)
             peer.load = peer.load or self._load(peer.listed)
 
     def evacuate(self, zones: frozenset[ZoneId]) -> None:
-        """Keeps new work from the endpoints of some zones, and of no others.
+        """Sets the evacuated zones, whose endpoints get no new work.
 
-        What runs there goes on.
+        Requests in progress there continue.
         """
         self._evacuated = zones
         self._rings.clear()
@@ -87,7 +87,7 @@
             was_evacuated = peer.evacuated
             peer.evacuated = peer.listed.zone in zones
             if was_evacuated and not peer.evacuated:
-                peer.starts_cold(self._reactor.seconds())
+                peer.mark_cold(self._reactor.seconds())
 
     def is_evacuated(self, service: ServiceName) -> bool:
         """Whether every endpoint that serves a service is evacuated."""
@@ -96,10 +96,10 @@
         return bool(serving) and all(peer.evacuated for peer in serving)
 
     def cold_wait_s(self, service: ServiceName) -> float | None:
-        """Returns the time until a service's cold endpoints take a request.
+        """Returns the seconds until a cold service accepts a request.
 
         Returns:
-          None if that is not what keeps requests from them.
+          None if some endpoint accepts one now, or none accepts work at all.
         """
         now = self._reactor.seconds()
         waits = [
@@ -115,7 +115,7 @@
         """Returns peers of a service that may get new work, in ring order.
 
         Args:
-          root: what the order goes by; every entry gets the same one.
+          root: the placement key; it gives the same order at every entry.
         """
         names = self._ring(service).candidates(root, count)
         return [self.peers[name] for name in names]
@@ -133,7 +133,7 @@
         ]
 
     def engine_weights(self) -> list[EngineWeights]:
-        """Returns what is known of the weights of all listed engines."""
+        """Returns the known weights of all listed engines."""
         return [
             EngineWeights(endpoint, model, peer.weights(model))
             for endpoint, peer in self.peers.items()
@@ -148,7 +148,7 @@
         return found.engine.memory_tokens if found and found.engine else 0
 
     def listed(self, entry: Listed) -> None:
-        """Takes a new or changed registry entry."""
+        """Applies a new or changed registry entry."""
         if self._lifetimes.is_over(entry.endpoint, entry.born_ms):
             emit(Event.ENDPOINT_STALE, endpoint=entry.endpoint)
             return
@@ -157,31 +157,33 @@
             self._add(entry)
             return
         moved = entry.address != peer.listed.address
-        if moved or _is_another(peer, entry.born_ms):
+        if moved or _is_other_start(peer, entry.born_ms):
             self._restart(peer, entry)
             return
         if entry.leaving and not peer.listed.leaving:
             emit(Event.ENDPOINT_LEAVING, endpoint=entry.endpoint)
             peer.pool.close()
             self._rings.pop(entry.service, None)
-        peer.relist(entry, self._reactor.seconds())
+        peer.update_listing(entry, self._reactor.seconds())
 
     def unlisted(self, endpoint: EndpointId) -> None:
-        """Takes an endpoint out; what is under way there goes on."""
+        """Removes an endpoint; requests in progress there continue."""
         peer = self.peers.get(endpoint)
         if peer is None:
             return
         self._remove(peer)
         emit(Event.ENDPOINT_GONE, endpoint=endpoint, running=peer.running)
 
-    def reported(self, peer: Peer, born_ms: int) -> bool:
-        """Learns from an endpoint itself which start of it answered.
+    def verify_start(self, peer: Peer, born_ms: int) -> bool:
+        """Compares the start that an endpoint reports with the known one.
+
+        A new start replaces the peer at once; the registry entry of that start
+        arrives a heartbeat later.
 
         Returns:
-          whether it is the one that the peer stands for. Its registry entry
-          tells of a new start a heartbeat later.
+          whether the reported start is the one that the peer represents.
         """
-        if peer.gone or not _is_another(peer, born_ms):
+        if peer.gone or not _is_other_start(peer, born_ms):
             return True
         if not self._lifetimes.is_over(peer.listed.endpoint, born_ms):
             entry = msgspec.structs.replace(
@@ -190,51 +192,54 @@
             self._restart(peer, entry)
         return False
 
-    def found(self, peer: Peer, instance: EndpointId) -> None:
-        """Learns which endpoint answers at a peer's address in its place."""
-        self.misplaced(peer)
+    def handle_address_taken(self, peer: Peer, instance: EndpointId) -> None:
+        """Retires a peer at whose address another endpoint answers.
+
+        The other endpoint is used again if it was taken for displaced.
+        """
+        self.retire(peer)
         self._lifetimes.over(peer.listed.endpoint, peer.listed.born_ms)
-        true = self.peers.get(instance)
-        if true is not None and true.gone:
-            self._revive(true)
+        current = self.peers.get(instance)
+        if current is not None and current.gone:
+            self._revive(current)
 
-    def misplaced(self, peer: Peer) -> None:
-        """Gives no more work to an endpoint whose address another has."""
+    def retire(self, peer: Peer) -> None:
+        """Gives no more work to a removed or displaced endpoint."""
         peer.gone = True
         peer.pool.close()
         self._rings.pop(peer.listed.service, None)
 
-    def rolls_out(self, rollout: Rollout) -> None:
-        """Takes which engines load weights now, and which have them.
+    def update_rollout(self, rollout: Rollout) -> None:
+        """Applies which engines are loading weights and which have them.
 
-        It comes from the key-value service, and from other entries, so that
-        one that is cut off from the service learns of it too.
+        Rollouts arrive from the key-value service and from other entries, so
+        that an entry that is cut off from the service gets them too.
         """
         if self.rollout and rollout.number <= self.rollout.number:
             return
         self.rollout = rollout
         now = self._reactor.seconds()
-        self.rollout_at = now
+        self.rollout_received_at = now
         for endpoint in rollout.taken:
             peer = self.peers.get(EndpointId(endpoint))
             if peer is not None:
-                peer.heard_weights(rollout.model, rollout.version)
+                peer.record_weights(rollout.model, rollout.version)
         for peer in self.peers.values():
             closed = peer.listed.endpoint in rollout.closed
-            peer.closed_until = now + _LOADING_S if closed else 0.0
+            peer.closed_until = now + _LOADING_TIMEOUT_S if closed else 0.0
 
     def facts(self, endpoint: EndpointId) -> EndpointFacts | None:
-        """Returns what its owner must know of an endpoint that is listed."""
+        """Returns an endpoint's facts for its owner; None if not listed."""
         peer = self.peers.get(endpoint)
         return peer.facts(self._reactor.seconds()) if peer else None
 
     def share(self, endpoint: EndpointId) -> WorkShare | None:
-        """Returns this entry's work at an endpoint that is listed."""
+        """Returns this entry's work at an endpoint; None if not listed."""
         peer = self.peers.get(endpoint)
         return peer.share(self._reactor.seconds()) if peer else None
 
     def replace(self, entries: Iterable[Listed]) -> None:
-        """Takes the whole registry as it is now."""
+        """Replaces all endpoints by the current registry entries."""
         named = set()
         for entry in entries:
             named.add(entry.endpoint)
@@ -248,7 +253,7 @@
         return list(self._by_service)
 
     def states(self) -> list[tuple[float, dict]]:
-        """Returns how many endpoints are in which state, by service."""
+        """Returns the number of endpoints by service and state."""
         now = self._reactor.seconds()
         count: Counter[tuple[str, str]] = Counter()
         for peer in self.peers.values():
@@ -259,14 +264,14 @@
         ]
 
     def connections(self) -> list[tuple[float, dict]]:
-        """Returns how many connections there are, by service."""
+        """Returns the number of open connections by service."""
         count: Counter[str] = Counter()
         for peer in self.peers.values():
             count[peer.listed.service] += peer.pool.open
         return [(n, {"service": name}) for name, n in count.items()]
 
     def trim(self) -> None:
-        """Closes idle connections whose time is over; forgets old reports."""
+        """Closes expired idle connections and drops old load reports."""
         now = self._reactor.seconds()
         for peer in self.peers.values():
             peer.pool.trim()
@@ -287,11 +292,11 @@
         return ring
 
     def _restart(self, peer: Peer, entry: Listed) -> None:
-        """Forgets all that was believed of an endpoint's earlier start.
+        """Replaces the peer of an endpoint's earlier start by a new one.
 
-        An endpoint that starts again holds and knows nothing of before. One
-        would notice prompts sent where their parts were and read whole, and
-        calls that wait for answers on connections that nobody serves.
+        A restarted endpoint has lost its state. With the old peer, prompts
+        would be sent where their parts were cached before and be read whole,
+        and calls would wait for answers on dead connections.
         """
         emit(
             Event.ENDPOINT_RESTARTED,
@@ -299,31 +304,30 @@
             running=peer.running,
             born_ms=entry.born_ms,
         )
-        if _is_another(peer, entry.born_ms):
+        if _is_other_start(peer, entry.born_ms):
             self._lifetimes.over(entry.endpoint, peer.listed.born_ms)
         self._remove(peer)
-        peer.ended_at = self._reactor.seconds()
-        self._add(entry).starts_cold(peer.ended_at)
+        peer.restarted_at = self._reactor.seconds()
+        self._add(entry).mark_cold(peer.restarted_at)
 
     def _remove(self, peer: Peer) -> None:
         del self.peers[peer.listed.endpoint]
         self._by_service[peer.listed.service].remove(peer)
-        self.misplaced(peer)
+        self.retire(peer)
 
     def _revive(self, peer: Peer) -> None:
-        """Uses an endpoint again that another seemed to have displaced."""
+        """Uses an endpoint again that was wrongly taken for displaced."""
         entry = peer.listed
         self._lifetimes.goes_on(entry.endpoint, entry.born_ms)
         self._remove(peer)
         self._add(entry)
 
     def _displace(self, entry: Listed) -> None:
-        """Takes an address from the endpoint that had it before.
+        """Retires the endpoint that had the address of a new entry before.
 
-        That one has ended, since two cannot have one address. An entry of it
-        that is written once more, late, must not take the address back: one
-        would notice that a sound endpoint gets no work for the rest of its
-        life, as its predecessor's every request is turned away.
+        That endpoint has ended, because two cannot share an address. A late
+        write of its entry must not take the address back: every request to it
+        would be refused, and the live endpoint would never get work.
         """
         for peer in list(self.peers.values()):
             if peer.listed.address != entry.address or peer.gone:
@@ -335,7 +339,7 @@
                 endpoint=before.endpoint,
                 by=entry.endpoint,
             )
-            self.misplaced(peer)
+            self.retire(peer)
 
     def _add(self, entry: Listed) -> Peer:
         self._displace(entry)
@@ -344,12 +348,12 @@
             entry.address,
             self._connections(entry),
             self._reactor.seconds,
-            self._opened,
+            self._on_connect,
         )
         cold = ColdStart()
         peer = Peer(entry, pool, self._load(entry), cold)
-        self._limit(peer)
-        peer.relist(entry, self._reactor.seconds())
+        self._apply_limits(peer)
+        peer.update_listing(entry, self._reactor.seconds())
         peer.evacuated = entry.zone in self._evacuated
         self.peers[entry.endpoint] = peer
         self._by_service.setdefault(entry.service, []).append(peer)
@@ -364,8 +368,8 @@
         )
         return peer
 
-    def _limit(self, peer: Peer) -> None:
-        """Sets this entry's shares of what an endpoint takes from all."""
+    def _apply_limits(self, peer: Peer) -> None:
+        """Sets this entry's shares of an endpoint's limits."""
         peer.pool.limit = self._connections(peer.listed)
         service = self._service(peer.listed)
         if service is not None:
@@ -393,8 +397,8 @@
         return self._routing.services.get(entry.service)
 
 
-def _is_another(peer: Peer, born_ms: int) -> bool:
-    """Whether a start is another than that of a peer; unknown ones are not."""
+def _is_other_start(peer: Peer, born_ms: int) -> bool:
+    """Whether a start is known to differ from that of a peer."""
     return bool(born_ms and peer.listed.born_ms) and (
         born_ms != peer.listed.born_ms
     )
--- a/magnolialug/entry/dispatch.py
+++ b/magnolialug/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""What one attempt tells its endpoint."""
+"""Placement parameters that an attempt sends to its endpoint."""
 
 import msgspec
 
@@ -6,29 +6,31 @@
 
 __all__ = ["FROM_ENGINE", "Dispatch"]
 
-# The source of a part that the engine is believed to hold itself.
+# The source of a part that the engine itself is expected to have cached.
 FROM_ENGINE = "engine"
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """The endpoint of an attempt, and what placement decided for it.
+    """The endpoint of an attempt and its placement parameters.
 
     Attributes:
-      salt: cache is only shared under the same salt.
-      weights: the version of the weights it must have, 0 for any.
+      cache_namespace: requests share cached parts only within one namespace.
+      weights: the required version of the weights, 0 for any.
       priority: 0 is admitted first.
-      resume_after: the event to go on after, 0 for a run from the start.
+      resume_after: the id of the last event already delivered, 0 to run from
+        the start.
       fetch: for each part of the prompt the address of the store to read it
-        from, "" for none; no rows if nothing is fetched.
-      save: the same for the store that is to keep it.
-      sources: for each shared part of the prompt what it is expected to come
-        from: "engine", a store, or why from none.
-      fetch_until_ms: a fetch that lasts longer is thrown away; on the
-        endpoints' clock.
+        from, "" for none; empty if nothing is fetched.
+      save: for each part of the prompt the address of the store to save it
+        to, in the same form.
+      sources: the expected source of each shared part of the prompt:
+        "engine", the name of a store, or the reason why there is none.
+      fetch_until_ms: the deadline of the fetches, on the endpoints' clock;
+        a fetch that ends later is discarded.
     """
 
     endpoint: EndpointId
-    salt: str = ""
+    cache_namespace: str = ""
     weights: int = 0
     priority: int = 0
     resume_after: int = 0
--- a/magnolialug/entry/dispatcher.py
+++ b/magnolialug/entry/dispatchbuilder.py
@@ -1,8 +1,8 @@
-"""What an attempt tells its endpoint."""
+"""Builds the placement parameters that are sent to an endpoint."""
 
 from collections.abc import Callable
 
-from magnolialug.entry.costs import Costs
+from magnolialug.entry.costestimator import CostEstimator
 from magnolialug.entry.dispatch import FROM_ENGINE, Dispatch
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.entry.peer import Peer
@@ -12,48 +12,51 @@
 from magnolialug.policy.prompt import Part, Prompt
 from magnolialug.policy.storemap import StoreMap
 
-__all__ = ["Dispatcher"]
+__all__ = ["DispatchBuilder"]
 
 
-class Dispatcher:
-    """Plans where the parts of a prompt are read from, and kept.
+class DispatchBuilder:
+    """Plans where the parts of a prompt are fetched from and saved to.
 
     Args:
-      costs: tells what an engine holds itself.
-      stores: the stores of cache parts.
-      newest: returns the newest version of a model that is known of.
+      costs: returns the parts that an engine itself has cached.
+      stores: the stores of cached parts.
+      newest_version: returns the newest known version of a model.
     """
 
     def __init__(
-        self, costs: Costs, stores: StoreMap, newest: Callable[[str], int]
+        self,
+        costs: CostEstimator,
+        stores: StoreMap,
+        newest_version: Callable[[str], int],
     ):
         self._costs = costs
         self._stores = stores
-        self._newest = newest
+        self._newest_version = newest_version
 
-    def dispatch(
+    def build(
         self,
         call: ForwardCall,
         peer: Peer,
         resume_after: int,
-        known: ProbeResults,
+        results: ProbeResults,
     ) -> Dispatch:
-        """Returns what to tell an endpoint.
+        """Returns the parameters to send to an endpoint.
 
         Args:
-          resume_after: the last event that the caller already has.
+          resume_after: the id of the last event that the caller received.
         """
         endpoint = peer.listed.endpoint
         if call.prompt is None:
             return Dispatch(endpoint, resume_after=resume_after)
         weights = peer.weights(call.prompt.model)
-        salt = call.salt(weights)
-        plans = self._plans(call.prompt, salt, weights, known)
+        cache_namespace = call.cache_namespace(weights)
+        plans = self._plans(call.prompt, cache_namespace, weights, results)
         fetch, save = self._addresses(call.prompt, plans)
-        held = self._costs.held(call, peer, known)
+        held = self._costs.held_parts(call, peer, results)
         return Dispatch(
             endpoint=endpoint,
-            salt=salt,
+            cache_namespace=cache_namespace,
             weights=weights,
             priority=call.priority,
             resume_after=resume_after,
@@ -65,10 +68,10 @@
             sources=_sources(call.prompt, held, plans),
         )
 
-    def saves(
+    def planned_saves(
         self, prompt: Prompt, to: Dispatch
     ) -> list[tuple[Part, ServiceName]]:
-        """Returns the parts that an attempt asks to be saved, and where."""
+        """Returns the parts that an attempt asks to save, with their stores."""
         names = {row.address: name for name, row in self._stores.traits.items()}
         return [
             (part, names[address])
@@ -77,27 +80,35 @@
         ]
 
     def _plans(
-        self, prompt: Prompt, salt: str, weights: int, known: ProbeResults
+        self,
+        prompt: Prompt,
+        cache_namespace: str,
+        weights: int,
+        results: ProbeResults,
     ) -> list[PartPlan]:
-        """Returns what to do with each shared part; nothing if none may be."""
+        """Returns a plan for each shared part.
+
+        The list is empty if there are no stores, or if the version of the
+        weights is not known.
+        """
         if not self._stores.traits or not weights:
             return []
-        may_save = weights >= self._newest(prompt.model)
+        may_save = weights >= self._newest_version(prompt.model)
         return [
-            plan_of((salt, part.name), known.stored, may_save)
+            plan_of((cache_namespace, part.name), results.stored, may_save)
             for part in prompt.shared
         ]
 
     def _addresses(
         self, prompt: Prompt, plans: list[PartPlan]
     ) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        """Returns where to fetch and where to save each part."""
+        """Returns the addresses to fetch and to save each part."""
         if not plans:
             return (), ()
-        own = ("",) * (len(prompt.parts) - len(plans))
+        unshared = ("",) * (len(prompt.parts) - len(plans))
         fetch = tuple(self._address(plan.fetch) for plan in plans)
         save = tuple(self._address(plan.save) for plan in plans)
-        return fetch + own, save + own
+        return fetch + unshared, save + unshared
 
     def _address(self, store: ServiceName | None) -> str:
         traits = self._stores.traits.get(store) if store else None
@@ -107,7 +118,7 @@
 def _sources(
     prompt: Prompt, held: int, plans: list[PartPlan]
 ) -> tuple[str, ...]:
-    """Returns what each shared part is expected to come from."""
+    """Returns the expected source of each shared part."""
     found = [FROM_ENGINE] * held
     found += [plan.fetch or plan.miss.value for plan in plans[held:]]
     missing = len(prompt.shared) - len(found)
--- a/magnolialug/entry/exchange.py
+++ b/magnolialug/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt as the entry sees it: dispatch, stream, resume, end."""
+"""One attempt over a sidecar connection: dispatch, stream, resume, end."""
 
 import enum
 
@@ -18,12 +18,12 @@
 
 __all__ = ["Exchange", "Start"]
 
-_GRACE_S = 0.5
-_RESUME_IDEMPOTENT_S = 1.0
-_RESUME_NON_IDEMPOTENT_S = 15.0
-_IDLE_S = 3600.0
-_SEAL_AFTER_S = 0.5
-_ACK_EVERY = 16
+_FIRST_TOKEN_GRACE_S = 0.5
+_IDEMPOTENT_RESUME_WAIT_S = 1.0
+_NON_IDEMPOTENT_RESUME_WAIT_S = 15.0
+_STREAM_IDLE_TIMEOUT_S = 3600.0
+_SEAL_DELAY_S = 0.5
+_PIECES_PER_ACK = 16
 
 
 class Start(enum.Enum):
@@ -34,11 +34,12 @@
 
 
 class Exchange:
-    """Runs one attempt over as many connections as it takes.
+    """Runs one attempt, resuming it over new connections when one is lost.
 
-    A lost connection leaves open whether the attempt ran. The same sidecar
-    start is asked again on a new connection, sealing the attempt if it never
-    arrived, so that "not run" is always the sidecar's own word.
+    After a connection is lost, the entry does not know whether the attempt ran.
+    It asks the same start of the sidecar on a new connection, which seals the
+    attempt if the dispatch never arrived. So only the sidecar ever reports an
+    attempt as "not run".
     """
 
     def __init__(
@@ -60,31 +61,31 @@
         self._seals = True
 
     async def run(self, start: Start) -> msg.Done | Ended:
-        """Returns the end of the answer, or how the attempt ended."""
+        """Runs the attempt; returns the end of the answer, or the failure."""
         request_id = self._attempt.request_id
-        box = self._upstream.open_mailbox(request_id)
+        mailbox = self._upstream.open_mailbox(request_id)
         try:
-            return await self._run(start, box)
+            return await self._run(start, mailbox)
         except CancelledError:
             self._upstream.send(msg.Cancel(self._attempt))
             raise
         finally:
-            self._upstream.close_mailbox(request_id, box)
+            self._upstream.close_mailbox(request_id, mailbox)
 
-    async def reread(self, find: msg.Find) -> msg.Done | Ended:
-        """Returns the end of an answer that is asked for by its id alone."""
-        box = self._upstream.open_mailbox(find.request_id)
+    async def replay(self, find: msg.Find) -> msg.Done | Ended:
+        """Streams the answer of an earlier request that is found by its id."""
+        mailbox = self._upstream.open_mailbox(find.request_id)
         try:
             self._upstream.send(find)
-            message = await box.get(self._patience())
+            message = await mailbox.get(self._receive_timeout_s())
             if hasattr(message, "attempt"):
                 self._attempt = message.attempt
             end = await self._handle(message)
-            return end or await self._listen(box)
+            return end or await self._receive(mailbox)
         finally:
-            self._upstream.close_mailbox(find.request_id, box)
+            self._upstream.close_mailbox(find.request_id, mailbox)
 
-    async def _run(self, start: Start, box: Mailbox) -> msg.Done | Ended:
+    async def _run(self, start: Start, mailbox: Mailbox) -> msg.Done | Ended:
         if start is Start.DISPATCH:
             sent = self._upstream.send(self._dispatch())
             if not sent and self._upstream.incarnation == "":
@@ -98,18 +99,18 @@
             lost = await self._resume()
             if lost:
                 return lost
-        return await self._listen(box)
+        return await self._receive(mailbox)
 
-    async def _listen(self, box: Mailbox) -> msg.Done | Ended:
+    async def _receive(self, mailbox: Mailbox) -> msg.Done | Ended:
         while True:
-            message = await box.get(self._patience())
+            message = await mailbox.get(self._receive_timeout_s())
             end = await self._handle(message)
             if end is not None:
                 return end
 
     async def _handle(self, message) -> msg.Done | Ended | None:
         if message is TIMED_OUT:
-            return self._give_up()
+            return self._timed_out()
         if isinstance(message, LinkLost):
             return await self._resume()
         if message.attempt.key != self._attempt.key:
@@ -131,26 +132,27 @@
         return self._outcome(message)
 
     async def _seal(self) -> Ended | None:
-        """Asks again, sealing, after a moment.
+        """Resumes again after a delay, this time with sealing.
 
-        A duplicate that finds a claim can be faster than the claim's own
-        dispatch. If it sealed at once, the dispatch would be refused, and
-        duplicates that race would keep refusing each other's attempts. The
-        answers to several who ask reach all of them; one is enough.
+        A duplicate that finds a claim can reach the sidecar before the dispatch
+        of that claim. If it sealed at once, the dispatch would be refused, and
+        racing duplicates would keep refusing each other's attempts. A reply
+        reaches every exchange that waits for the request; one that already
+        seals ignores a reply to another's resume.
         """
         if self._seals:
             return None
-        await sleep(self._clock, _SEAL_AFTER_S)
+        await sleep(self._clock, _SEAL_DELAY_S)
         self._seals = True
         return await self._resume()
 
     async def _token(self, token: msg.Token) -> Ended | None:
         """Delivers a piece once and in order.
 
-        Pieces of an older connection can arrive late or again, and what
-        lies between two pieces can be lost with a connection. One would
-        notice doubled or missing words. The number tells: an old one is
-        dropped, and a gap is asked for again.
+        Pieces of an older connection can arrive late or twice, and pieces can
+        be lost with a connection; the caller would see doubled or missing
+        words. By its sequence number, an old piece is dropped, and a gap is
+        requested again.
         """
         if token.seq <= self._progress.seq:
             return None
@@ -160,11 +162,11 @@
             self._progress.first_at = self._clock.seconds()
         self._progress.seq = token.seq
         self._progress.text.append(token.text)
-        await self._sink.piece(token.seq, token.text)
+        await self._sink.write_piece(token.seq, token.text)
         if self._sink.gone and self._call.kind.idempotent:
             self._upstream.send(msg.Cancel(self._attempt))
             return self._ended(Ending.FAILED, failed(Code.CANCELLED))
-        if token.seq - self._acked >= _ACK_EVERY:
+        if token.seq - self._acked >= _PIECES_PER_ACK:
             self._ack()
         return None
 
@@ -188,19 +190,19 @@
         failure = failed(code, outcome.reason, executed=Executed.UNKNOWN)
         return self._ended(ending, failure)
 
-    def _give_up(self) -> Ended:
+    def _timed_out(self) -> Ended:
         failure = failed(
-            Code.OUTCOME_UNKNOWN, "no first word within the kind's wait"
+            Code.OUTCOME_UNKNOWN, "no first token within the kind's wait limit"
         )
         if self._call.kind.idempotent:
             self._upstream.send(msg.Cancel(self._attempt))
         return self._ended(Ending.FAILED, failure)
 
     async def _resume(self) -> Ended | None:
-        """Asks the same sidecar start for the rest, on a new connection."""
-        limit = _RESUME_NON_IDEMPOTENT_S
+        """Requests the rest from the same sidecar start on a new connection."""
+        limit = _NON_IDEMPOTENT_RESUME_WAIT_S
         if self._call.kind.idempotent:
-            limit = _RESUME_IDEMPOTENT_S
+            limit = _IDEMPOTENT_RESUME_WAIT_S
         if not await self._upstream.wait_ready(limit):
             return self._lost()
         if self._upstream.incarnation != self._attempt.incarnation:
@@ -221,11 +223,11 @@
     def _ended(self, ending: Ending, failure: Failure) -> Ended:
         return Ended(ending, failure)
 
-    def _patience(self) -> float:
+    def _receive_timeout_s(self) -> float:
         if self._progress.first_at is not None:
-            return _IDLE_S
+            return _STREAM_IDLE_TIMEOUT_S
         left = self._call.deadline - self._clock.seconds()
-        return max(0.0, left) + _GRACE_S
+        return max(0.0, left) + _FIRST_TOKEN_GRACE_S
 
     def _dispatch(self) -> msg.Dispatch:
         call = self._call
--- a/magnolialug/entry/fleet.py
+++ b/magnolialug/entry/fleet.py
@@ -1,4 +1,4 @@
-"""An entry's view of its endpoints: connections, load, caches, placement."""
+"""Connections to the sidecars, the state of endpoints, and placement."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,7 +9,7 @@
 from magnolialug.config.current import Current
 from magnolialug.config.deployment import Deployment
 from magnolialug.entry.call import PromptCall
-from magnolialug.entry.upstream import Upstream, UpstreamOwner
+from magnolialug.entry.upstream import Upstream, UpstreamCallbacks
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import EndpointId, EntryId, ZoneId
 from magnolialug.policy.admission import Admission
@@ -36,19 +36,19 @@
 
 __all__ = ["Fleet"]
 
-_BELIEF_LIMIT = 12_000
-_SHOWN_COSTS = 4
-_RETIRE_STEP_S = 3.0
+_MAX_CACHE_ESTIMATES = 12_000
+_LOGGED_COSTS = 4
+_RETIRE_CHECK_S = 3.0
 _READY_GRACE_S = 10.0
 _NO_RING = Ring()
 
 
 class Fleet:
-    """Owns the upstreams and every belief about them.
+    """Holds the upstreams and the last known state of their endpoints.
 
     Args:
       connect: opens a link to an endpoint's sidecar.
-      admission: is told how many entries the sidecars see.
+      admission: receives the number of entries that the sidecars see.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
     ):
         self.upstreams: dict[EndpointId, Upstream] = {}
         self.members = Members()
-        self.beliefs = Beliefs(_BELIEF_LIMIT)
+        self.cache_estimates = Beliefs(_MAX_CACHE_ESTIMATES)
         self.views: dict[EndpointId, EndpointView] = {}
         self._entry = entry
         self._zone = zone
@@ -74,7 +74,7 @@
         self._rings: dict[str, Ring] = {}
         self._retiring: list[Upstream] = []
         self._started = clock.seconds()
-        self._owner = UpstreamOwner(
+        self._callbacks = UpstreamCallbacks(
             connect=connect,
             hello=lambda: msg.Hello(entry, current.version),
             ping=lambda: msg.Ping(current.version, current.beat),
@@ -85,10 +85,10 @@
         )
 
     def apply(self, deployment: Deployment) -> None:
-        """Takes the endpoints of a configuration into use."""
-        for gone in set(self.upstreams) - set(deployment.endpoints):
-            self._retire(self.upstreams.pop(gone))
-            self.views.pop(gone, None)
+        """Applies the endpoints of a configuration."""
+        for removed in set(self.upstreams) - set(deployment.endpoints):
+            self._retire(self.upstreams.pop(removed))
+            self.views.pop(removed, None)
         for name, spec in deployment.endpoints.items():
             endpoint = EndpointId(name)
             if endpoint in self.upstreams:
@@ -101,7 +101,7 @@
                 prefill_rate=spec.prefill_rate,
             )
             upstream = Upstream(
-                endpoint, self._clock, self._random, self._owner
+                endpoint, self._clock, self._random, self._callbacks
             )
             self.upstreams[endpoint] = upstream
             upstream.start()
@@ -119,23 +119,26 @@
             upstream.stop()
 
     def _retire(self, upstream: Upstream) -> None:
-        """Lets go of an endpoint that the configuration no longer names.
+        """Retires an endpoint that the configuration no longer names.
 
-        Closing at once would cut its streams, and its sidecar would never
-        hear of the change that removed it. So it is told the version, which
-        makes it drain, and the connection stays until nothing is under way.
+        Closing the connection at once would cut its streams, and its sidecar
+        would not learn of the change that removed it. So the new version is
+        sent, which makes the sidecar drain, and the connection stays open until
+        no request is in progress or the drain limit has passed.
         """
         upstream.retire()
         upstream.send(msg.Ping(self._current.version, self._current.beat))
         until = self._clock.seconds()
         until += self._current.deployment.limits.drain_s
         self._retiring.append(upstream)
-        self._clock.callLater(_RETIRE_STEP_S, self._retired, upstream, until)
+        self._clock.callLater(
+            _RETIRE_CHECK_S, self._check_retired, upstream, until
+        )
 
-    def _retired(self, upstream: Upstream, until: float) -> None:
+    def _check_retired(self, upstream: Upstream, until: float) -> None:
         if upstream.mailboxes and self._clock.seconds() < until:
-            again = self._retired, upstream, until
-            self._clock.callLater(_RETIRE_STEP_S, *again)
+            again = self._check_retired, upstream, until
+            self._clock.callLater(_RETIRE_CHECK_S, *again)
             return
         if upstream in self._retiring:
             self._retiring.remove(upstream)
@@ -144,10 +147,10 @@
     def ready(self) -> bool:
         """Whether calls can be served.
 
-        A fresh entry that said so with its first connection would refuse the
-        calls of services that it reaches a moment later. So every service
-        must be reached; but one that nobody reaches must not keep the
-        others' callers out, so after a grace any endpoint is enough.
+        An entry that became ready with its first connection would refuse calls
+        to services that it reaches a moment later. So each service must have a
+        connected endpoint. A service that cannot be reached must not keep the
+        others unavailable, so after a grace period any endpoint is enough.
         """
         reached = {
             spec.service
@@ -189,7 +192,7 @@
             job,
             ring,
             view_of,
-            self.beliefs,
+            self.cache_estimates,
             self._link(call),
             Weights(
                 deployment.measures.ttft,
@@ -203,21 +206,21 @@
             sent(view, placed.best.recomputed, now)
         return placed
 
-    def learned(
+    def record_cache_state(
         self, call: PromptCall, endpoint: EndpointId, done: msg.Done
     ) -> None:
-        """Takes a sidecar's word on what its engine and the store hold."""
+        """Updates the cache estimates of an engine and the store."""
         view = self.views.get(endpoint)
         if view is None or not call.model:
             return
-        belief = EngineBelief(done.prompt_tokens, view.filled, view.epoch)
-        self.beliefs.seen_engine(call.root, endpoint, belief)
-        self.beliefs.seen_store(
+        estimate = EngineBelief(done.prompt_tokens, view.filled, view.epoch)
+        self.cache_estimates.seen_engine(call.root, endpoint, estimate)
+        self.cache_estimates.seen_store(
             call.root, StoreBelief(done.prompt_tokens, True)
         )
 
     def expected_wait(self, endpoint: EndpointId, priority: int) -> float:
-        """Returns the expected queue at an endpoint, in seconds."""
+        """Returns the expected queueing delay at an endpoint, in seconds."""
         return queue_seconds(
             self.views[endpoint], priority, self._clock.seconds()
         )
@@ -232,10 +235,10 @@
             token_bytes=model.token_bytes if model else 0,
         )
 
-    def log(
+    def log_placement(
         self, call: PromptCall, placed: Placement | Failure, request_id: str
     ) -> None:
-        """Logs a placement with the costs it compared."""
+        """Logs a placement with the costs that were compared."""
         fields = {"team": call.team, "kind": call.kind_name, "root": call.root}
         if isinstance(placed, Failure):
             emit(Event.NOT_PLACED, **fields, **explain(placed))
@@ -254,7 +257,7 @@
                     round(cost.ttft_s, 4),
                     round(cost.cost, 4),
                 )
-                for cost in placed.compared[:_SHOWN_COSTS]
+                for cost in placed.compared[:_LOGGED_COSTS]
             ],
         )
 
--- a/magnolialug/entry/forwardcall.py
+++ b/magnolialug/entry/forwardcall.py
@@ -1,4 +1,4 @@
-"""A request that is passed on as it came."""
+"""A request that is forwarded unchanged."""
 
 from magnolialug.config.routing import Route
 from magnolialug.entry.call import Call
@@ -15,12 +15,13 @@
     """A request whose method, target, headers and body stay unchanged.
 
     Attributes:
-      digest: the same for each time that its caller sends it.
-      headers: the caller's own that concern the endpoint, in order.
-      prompt: None where the route carries no prompts.
+      digest: identifies the request; equal each time its caller sends it.
+      headers: the caller's headers that are passed to the endpoint, in order.
+      prompt: None if the route carries no prompts.
       priority: 0 is the most urgent.
-      isolated: whether its team shares cache with no other.
-      resume_after: the last event that the caller already has, 0 for none.
+      isolated: whether its team shares no cached parts with other teams.
+      resume_after: the id of the last event that the caller received, 0 for
+        none.
     """
 
     route: Route
@@ -34,12 +35,13 @@
     isolated: bool = False
     resume_after: int = 0
 
-    def salt(self, weights: int) -> str:
-        """Returns the text under which cache is shared.
+    def cache_namespace(self, weights: int) -> str:
+        """Returns the cache namespace of the request's parts.
 
-        Parts read under other weights, or by an isolated team, must never be
-        found; the engine looks under the same salt only. While an engine's
-        version is not known, a request shares with no other.
+        Parts that were computed with other weights, or for an isolated team,
+        must never be found; an engine only looks in the same namespace. While
+        the version at an engine is not known, the request gets a namespace of
+        its own.
 
         Args:
           weights: the version at the engine, 0 if not known.
--- a/magnolialug/entry/gateway.py
+++ b/magnolialug/entry/gateway.py
@@ -11,9 +11,9 @@
 from magnolialug.config.routing import CallerLimits, Routing
 from magnolialug.entry.candidatelist import CandidateList
 from magnolialug.entry.candidateprober import CandidateProber
-from magnolialug.entry.costs import Costs
+from magnolialug.entry.costestimator import CostEstimator
 from magnolialug.entry.directory import Directory
-from magnolialug.entry.dispatcher import Dispatcher
+from magnolialug.entry.dispatchbuilder import DispatchBuilder
 from magnolialug.entry.entrybook import ENTRIES_PREFIX, EntryBook, EntryRow
 from magnolialug.entry.evacuations import Evacuations
 from magnolialug.entry.forwardcall import ForwardCall
@@ -25,14 +25,14 @@
 from magnolialug.entry.gauges import observe_endpoints, observe_states
 from magnolialug.entry.grace import NOTICED_S, Grace
 from magnolialug.entry.httpattempt import HttpAttempt
+from magnolialug.entry.livenessmonitor import LivenessMonitor
 from magnolialug.entry.peertalk import PeerTalk
-from magnolialug.entry.placer import Listeners, Placer
+from magnolialug.entry.placer import AttemptCallbacks, Placer
 from magnolialug.entry.registry import Registry
+from magnolialug.entry.retryloop import ServingContext
 from magnolialug.entry.rolloutcommands import RolloutCommands
 from magnolialug.entry.rolloutlease import LEADER_KEY, RolloutLease
 from magnolialug.entry.routebook import RouteBook
-from magnolialug.entry.serving import Means
-from magnolialug.entry.silencewatch import SilenceWatch
 from magnolialug.entry.watchclient import WatchClient
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import RequestDigest
@@ -148,14 +148,16 @@
         shortlist = CandidateList(
             self.directory, settings.zone, self._bounds, reactor.seconds
         )
-        costs = Costs(settings.zone, self.prefix_cache.map, reactor.seconds)
+        costs = CostEstimator(
+            settings.zone, self.prefix_cache.map, reactor.seconds
+        )
         reporter = self.owners.load_reporter
         self._placer = Placer(
             self.directory,
             shortlist,
             costs,
-            Dispatcher(costs, self.prefix_cache.map, self._newest),
-            Listeners(
+            DispatchBuilder(costs, self.prefix_cache.map, self._newest),
+            AttemptCallbacks(
                 reporter.sent,
                 reporter.changed,
                 self.prefix_cache.queries.save,
@@ -172,7 +174,7 @@
             reactor.seconds,
         )
         self._underway: set[HttpAttempt] = set()
-        self._silence = SilenceWatch(self.directory, calls, reactor.seconds)
+        self._silence = LivenessMonitor(self.directory, calls, reactor.seconds)
         self._grace = Grace(
             reactor.seconds, lambda: self.settings.bounds.grace_s
         )
@@ -307,9 +309,9 @@
     def _call_means(self, random: Random) -> CallMeans:
         metrics = self.metrics
         return CallMeans(
-            serving=Means(
+            serving=ServingContext(
                 budget=self._budget,
-                retried=lambda service: metrics.retries.add(
+                on_retry=lambda service: metrics.retries.add(
                     1, {"service": service}
                 ),
                 clock=self._reactor,
@@ -372,7 +374,7 @@
         """Ends what is under way of a request that ends endpoints."""
         for attempt in list(self._underway):
             if attempt.digest == digest:
-                attempt.break_off()
+                attempt.abort_unless_started()
 
     def _routed(self, routing: Routing) -> None:
         self.directory.configure(routing)
@@ -381,7 +383,7 @@
 
     def _rolls_out(self, rollout: Rollout, own: bool) -> None:
         """Takes which engines load weights now, from the lease's holder."""
-        self.directory.rolls_out(rollout)
+        self.directory.update_rollout(rollout)
         if own:
             self.owners.load_reporter.spread(rollout)
 
@@ -410,7 +412,7 @@
         self.owners.entries(members)
         me = (self.settings.host, self.settings.internal_port)
         rank = sum(address < me for address in sharing)
-        self.directory.counted(len(sharing), rank)
+        self.directory.set_entry_count(len(sharing), rank)
         budget = self._new_budget()
         self._budget.limit = budget.limit
 
--- a/magnolialug/entry/gatewaycall.py
+++ b/magnolialug/entry/gatewaycall.py
@@ -13,10 +13,10 @@
 from magnolialug.entry.gatewaymetrics import GatewayMetrics
 from magnolialug.entry.gatewaysink import GatewaySink
 from magnolialug.entry.httpattempt import HttpAttempt
-from magnolialug.entry.httpcarrier import HttpCarrier
+from magnolialug.entry.httpattemptrunner import HttpAttemptRunner
 from magnolialug.entry.placer import Placer
 from magnolialug.entry.progress import Served
-from magnolialug.entry.serving import Means, Serving
+from magnolialug.entry.retryloop import RetryLoop, ServingContext
 from magnolialug.events import Event, explain
 from magnolialug.owners.admissionclient import AdmissionClient
 from magnolialug.quarantine.wiring import Quarantine
@@ -37,7 +37,7 @@
       underway: the attempts that the gateway watches for silence.
     """
 
-    serving: Means
+    serving: ServingContext
     placer: Placer
     prober: CandidateProber
     admission: AdmissionClient
@@ -66,7 +66,7 @@
         self._sink = sink
         self._on_over = on_over
         self._log = RequestLog(call.name)
-        self._carrier = HttpCarrier(
+        self._carrier = HttpAttemptRunner(
             means.placer,
             means.prober,
             means.admission,
@@ -83,7 +83,7 @@
     def start(self, req: GatewayRequest) -> None:
         """Begins to serve the call."""
         self._means.serving.budget.deposit(self._call.service)
-        serving = Serving(
+        serving = RetryLoop(
             self._means.serving, self._call, self._carrier, self._log
         )
         fut = ensureDeferred(serving.run())
@@ -96,7 +96,7 @@
         if isinstance(result, Served):
             self._count_served(result)
             return
-        if not self._carrier.deliver_kept():
+        if not self._carrier.deliver_withheld():
             self._sink.refuse(self._in_time(result))
         self._count_failed(result)
 
--- a/magnolialug/entry/gatewaysink.py
+++ b/magnolialug/entry/gatewaysink.py
@@ -72,7 +72,7 @@
         if not self.over:
             self._req.write(data)
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         """Ends the answer as complete."""
         if self.over:
             return
@@ -80,7 +80,7 @@
         self._req.unregisterProducer()
         self._req.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Ends the answer so that it cannot look complete.
 
         The connection closes without the last chunk or short of the length.
@@ -94,7 +94,7 @@
     def refuse(self, failure: Failure) -> None:
         """Answers with a numbered error, unless an answer has begun."""
         if self.opened:
-            self.cut()
+            self.abort()
             return
         if self.over:
             return
@@ -111,7 +111,7 @@
         req.write(body)
         req.finish()
 
-    def holds(self, flight: Flight | None) -> None:
+    def set_source(self, flight: Flight | None) -> None:
         """Learns whom to hold back while the caller does not read."""
         self._flight = flight
         if flight is not None and self._paused:
--- a/magnolialug/entry/httpattempt.py
+++ b/magnolialug/entry/httpattempt.py
@@ -1,4 +1,4 @@
-"""One attempt over HTTP: send, classify the answer, pass it on."""
+"""One attempt over HTTP: sends it, classifies and forwards the answer."""
 
 import enum
 from collections.abc import Callable
@@ -31,59 +31,60 @@
 _GOOD = range(200, 300)
 _FAILED = range(500, 600)
 _EVENT_STREAM = b"text/event-stream"
-# A new start of an endpoint is known of this much later at most: it writes its
-# entry with its first heartbeat, 1.2 s. What was sent since may run there.
-_START_TOLD_S = 2.0
-# When a caller may come back whose request its endpoint has turned away. An
-# engine does so while it loads weights, or when it has others than were
-# expected: the next one can be in time if it comes at once. A plain service
-# that is full stays so for the time of an answer or more.
-_ENGINE_AGAIN_S = 0.05
-_PLAIN_AGAIN_S = 1.0
-# What is held back while it can still be replaced by another's answer.
-_KEPT_BYTES = 64 * 1024
+# The longest time until a restart of an endpoint is detected: it writes its
+# registry entry with its first heartbeat, 1.2 s. A request that was sent within
+# this time may be running at the new start.
+_RESTART_DETECTION_S = 2.0
+# Retry-After of a request that its endpoint refused. An engine refuses requests
+# while it loads weights, or when it has other weights than expected: an
+# immediate retry can be in time. A plain service that is full stays full for
+# the time of an answer or more.
+_ENGINE_RETRY_AFTER_S = 0.05
+_PLAIN_RETRY_AFTER_S = 1.0
+# Bound of an answer that is buffered while another endpoint can replace it.
+_MAX_BUFFERED_BYTES = 64 * 1024
 
 
 class ForwardSink(Protocol):
-    """Takes an endpoint's answer on its way to the caller."""
+    """Writes an endpoint's answer to the caller."""
 
     opened: bool
     gone: bool
 
     def head(self, status: int, reason: bytes, headers: HeaderList) -> None:
-        """Takes the status line and headers."""
+        """Writes the status line and headers."""
 
     def data(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Writes a piece of the body."""
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         """Ends the answer as complete."""
 
-    def cut(self) -> None:
-        """Ends the answer so that it cannot look complete."""
+    def abort(self) -> None:
+        """Ends the answer so that the caller sees it as incomplete."""
 
-    def holds(self, flight: Flight | None) -> None:
-        """Learns whom to hold back while the caller does not read."""
+    def set_source(self, flight: Flight | None) -> None:
+        """Sets the exchange to pause while the caller does not read."""
 
 
 class _Stage(enum.Enum):
     WAITING = "waiting"
-    GATHERING = "gathering"
-    PASSING = "passing"
+    BUFFERING = "gathering"
+    FORWARDING = "passing"
     REFUSED = "refused"
-    KEPT = "kept"
+    WITHHELD = "kept"
 
 
 class Outcome(msgspec.Struct):
     """How an attempt ended.
 
     Attributes:
-      ended: None for an answer that the caller has in full.
-      answer: the response head, None if none came.
-      first_event_s: time from sending to the first piece of the body.
+      ended: None if the caller received the whole answer.
+      answer: the response head, None if none arrived.
+      first_event_s: time from sending to the first forwarded data.
       sent_at: when the request was sent.
-      begun: whether part of the body came.
-      kept: the body of a failure that was kept back.
+      begun: whether part of the body arrived.
+      withheld: the body of a failure that was not forwarded.
     """
 
     ended: Ended | None
@@ -92,19 +93,19 @@
     end: End = End.WHOLE
     sent_at: float = 0.0
     begun: bool = False
-    kept: bytes = b""
+    withheld: bytes = b""
 
 
 class HttpAttempt:
-    """Sends a request to one endpoint and passes the answer on.
+    """Sends a request to one endpoint and forwards the answer.
 
-    It is the connection's taker. `done` fires once with the Outcome.
+    It receives the connection's events. `done` fires once with the Outcome.
 
     Args:
-      patient_until: without an answer by then, another endpoint is tried if
-        that is allowed.
-      may_move: tells whether it is.
-      on_first: is told of the first piece of the body.
+      answer_due_at: without an answer by then, another endpoint is tried if
+        `may_fail_over` allows it.
+      may_fail_over: returns whether another endpoint may be tried.
+      on_first_data: called with the first forwarded data.
     """
 
     def __init__(
@@ -115,18 +116,18 @@
         progress: Progress,
         sink: ForwardSink,
         now: float,
-        patient_until: float,
-        may_move: Callable[[], bool],
-        on_first: Callable[[], None],
+        answer_due_at: float,
+        may_fail_over: Callable[[], bool],
+        on_first_data: Callable[[], None],
     ):
-        self._patient_until = patient_until
-        self._may_move = may_move
-        self._on_first = on_first
+        self._answer_due_at = answer_due_at
+        self._may_fail_over = may_fail_over
+        self._on_first_data = on_first_data
         self.done: Deferred[Outcome] = Deferred(self._cancelled)
         self.peer = peer
         self.dispatch = dispatch
         self.sent_at = now
-        self.heard_at = now
+        self.last_contact_at = now
         self.answered = False
         self.begun = False
         self.digest = call.digest
@@ -136,11 +137,11 @@
         self._clock = lambda: now
         self._stage = _Stage.WAITING
         self._answer: Answer | None = None
-        self._kept: list[bytes] = []
+        self._buffer: list[bytes] = []
         self._first_event_s = 0.0
         self._cutter: EventCutter | None = None
         self._flight: Flight | None = None
-        self._why = End.WHOLE
+        self._drop_end = End.WHOLE
 
     def start(self, clock) -> None:
         """Sends the request."""
@@ -151,71 +152,74 @@
         self._flight = self.peer.pool.send(
             request, self, lambda head: answers(name, head)
         )
-        self._sink.holds(self._flight)
+        self._sink.set_source(self._flight)
 
     def state(self, now: float) -> CallState:
-        """Returns how far the attempt has come."""
+        """Returns the progress of the attempt."""
         phase = Phase.WRITING if self._first_event_s else Phase.READING
-        return CallState(phase, now - self.heard_at)
+        return CallState(phase, now - self.last_contact_at)
 
     def sweep(self, now: float) -> None:
-        """Ends the attempt when nothing more can come of it in time."""
+        """Ends the attempt if it is past its deadline, orphaned or overdue."""
         over = now >= self._call.deadline or self._is_orphaned()
-        if over or (self._is_overdue(now) and self._may_move()):
+        if over or (self._is_overdue(now) and self._may_fail_over()):
             self._flight.silent()
 
-    def break_off(self) -> None:
-        """Stops a request that ends endpoints before this one begins it."""
+    def abort_unless_started(self) -> None:
+        """Drops the attempt of a crashing request if no data has arrived."""
         if not self.begun:
             self._flight.drop()
 
     def _is_overdue(self, now: float) -> bool:
-        """Whether another endpoint is the better bet, if one may be tried.
+        """Whether to try another endpoint, if that is allowed.
 
-        A stream that stops at an engine that has lost power would be held
+        Without this, a stream from an engine that lost power would stay open
         until its caller leaves with half an answer.
         """
-        if self.peer.mute:
+        if self.peer.unresponsive:
             return True
-        return not self.answered and now >= self._patient_until
+        return not self.answered and now >= self._answer_due_at
 
     def _is_orphaned(self) -> bool:
-        """Whether the endpoint's start that took it has ended."""
-        ended_at = self.peer.ended_at
-        return ended_at is not None and self.sent_at < ended_at - _START_TOLD_S
+        """Whether the endpoint has restarted since the request was sent."""
+        restarted_at = self.peer.restarted_at
+        return (
+            restarted_at is not None
+            and self.sent_at < restarted_at - _RESTART_DETECTION_S
+        )
 
     def on_head(self, head: Head) -> None:
-        """Takes the endpoint's status line and headers."""
-        self._heard()
+        """Handles the endpoint's status line and headers."""
+        self._record_contact()
         self.answered = True
         answer = self._answer = read_answer(head)
         stream = (head.get(b"content-type") or b"").startswith(_EVENT_STREAM)
         if answer.not_run:
             self._stage = _Stage.REFUSED
-        elif self._is_kept(answer):
-            self._stage = _Stage.KEPT
-        elif answer.status in _GOOD and not self._is_sound(answer, stream):
-            self._why = End.GARBAGE
+        elif self._is_withheld(answer):
+            self._stage = _Stage.WITHHELD
+        elif answer.status in _GOOD and not self._is_valid(answer, stream):
+            self._drop_end = End.GARBAGE
             self._flight.drop()
         elif stream or self._call.route.form is RouteType.STREAMING:
-            self._pass(stream)
+            self._forward(stream)
         else:
-            self._stage = _Stage.GATHERING
+            self._stage = _Stage.BUFFERING
 
-    def _is_kept(self, answer: Answer) -> bool:
-        """Whether a failure is kept back so that others can be tried."""
+    def _is_withheld(self, answer: Answer) -> bool:
+        """Whether a failure is withheld while other endpoints can be tried."""
         if self._sink.opened:
             return answer.status not in _GOOD
         return answer.status in _FAILED and self._call.kind.idempotent
 
-    def _is_sound(self, answer: Answer, stream: bool) -> bool:
-        """Whether a success bears its mark, and goes on as a stream if due."""
+    def _is_valid(self, answer: Answer, stream: bool) -> bool:
+        """Whether a success has its stamp, and is a stream where it must be."""
         if self._sink.opened and not (stream and self._call.route.resumable):
             return False
         return answer.stamped
 
-    def _pass(self, stream: bool) -> None:
-        self._stage = _Stage.PASSING
+    def _forward(self, stream: bool) -> None:
+        self._stage = _Stage.FORWARDING
         if stream and self._call.route.resumable:
             self._cutter = EventCutter(self._progress.seq)
         if not self._sink.opened:
@@ -223,53 +227,53 @@
             self._sink.head(answer.status, answer.reason, answer.passed)
 
     def on_data(self, data: bytes) -> None:
-        """Takes a piece of the endpoint's body."""
-        self._heard()
+        """Handles a piece of the endpoint's body."""
+        self._record_contact()
         self.begun = True
-        if self._stage is _Stage.PASSING:
+        if self._stage is _Stage.FORWARDING:
             self._deliver(data)
-        elif self._stage is _Stage.GATHERING:
-            self._gather(data)
-        elif self._stage is _Stage.KEPT:
-            self._kept.append(data)
-            if sum(map(len, self._kept)) > _KEPT_BYTES:
+        elif self._stage is _Stage.BUFFERING:
+            self._buffer_data(data)
+        elif self._stage is _Stage.WITHHELD:
+            self._buffer.append(data)
+            if sum(map(len, self._buffer)) > _MAX_BUFFERED_BYTES:
                 self._flight.drop()
 
-    def _heard(self) -> None:
-        self.heard_at = self._clock()
-        self.peer.heard(self.heard_at)
+    def _record_contact(self) -> None:
+        self.last_contact_at = self._clock()
+        self.peer.record_contact(self.last_contact_at)
 
-    def _gather(self, data: bytes) -> None:
-        """Holds an answer that is no stream until it is whole.
+    def _buffer_data(self, data: bytes) -> None:
+        """Buffers an answer that is not a stream until it is complete.
 
-        An endpoint that dies in the middle of its answer can be replaced by
-        another only while the caller has nothing; joined, the two halves
-        would be an answer that nobody gave. What grows too large to hold is
-        passed on, and then cannot be repeated.
+        If an endpoint fails in the middle of its answer, another one can only
+        replace it while the caller has received nothing: two halves joined
+        would be an answer that no endpoint gave. An answer that outgrows the
+        buffer is forwarded, and can then not be retried.
         """
-        self._kept.append(data)
-        if sum(map(len, self._kept)) > _KEPT_BYTES:
-            self._pass_gathered()
+        self._buffer.append(data)
+        if sum(map(len, self._buffer)) > _MAX_BUFFERED_BYTES:
+            self._forward_buffered()
 
-    def _pass_gathered(self) -> None:
-        self._pass(stream=False)
-        pieces, self._kept = self._kept, []
+    def _forward_buffered(self) -> None:
+        self._forward(stream=False)
+        pieces, self._buffer = self._buffer, []
         for piece in pieces:
             self._deliver(piece)
 
     def _deliver(self, data: bytes) -> None:
         if not self._first_event_s:
-            self._first_event_s = self.heard_at - self.sent_at
-            self._on_first()
+            self._first_event_s = self.last_contact_at - self.sent_at
+            self._on_first_data()
             if self._progress.first_at is None:
-                self._progress.first_at = self.heard_at
+                self._progress.first_at = self.last_contact_at
         if self._cutter is None:
             self._sink.data(data)
             return
         try:
             events = self._cutter.feed(data)
         except ValueError:
-            self._why = End.GARBAGE
+            self._drop_end = End.GARBAGE
             self._flight.drop()
             return
         self._progress.seq = self._cutter.last
@@ -277,15 +281,15 @@
             self._sink.data(events)
 
     def on_end(self, end: End) -> None:
-        """Learns how the exchange ended."""
-        if end is End.DROPPED and self._why is not End.WHOLE:
-            end = self._why
-        self._sink.holds(None)
+        """Handles the end of the exchange."""
+        if end is End.DROPPED and self._drop_end is not End.WHOLE:
+            end = self._drop_end
+        self._sink.set_source(None)
         done, self.done = self.done, None
         if done is None:
             return
-        if self._stage is _Stage.GATHERING and end is End.WHOLE:
-            self._pass_gathered()
+        if self._stage is _Stage.BUFFERING and end is End.WHOLE:
+            self._forward_buffered()
         outcome = self._outcome(end)
         outcome.end = end
         outcome.sent_at = self.sent_at
@@ -302,17 +306,17 @@
             return Outcome(Ended(Ending.UNSENT, failure))
         if end is not End.WHOLE:
             return Outcome(Ended(self._lost_ending(), self._lost(end)))
-        if self._stage is _Stage.KEPT:
+        if self._stage is _Stage.WITHHELD:
             reason = f"status {self._answer.status}"
             failure = failed(Code.ENDPOINT_FAILED, reason)
-            kept = b"".join(self._kept)
-            return Outcome(Ended(Ending.FAILED, failure), kept=kept)
+            withheld = b"".join(self._buffer)
+            return Outcome(Ended(Ending.FAILED, failure), withheld=withheld)
         if self._cutter is not None and self._cutter.torn:
             return Outcome(Ended(Ending.LOST, self._lost(End.CLOSED)))
         return Outcome(None)
 
     def _lost_ending(self) -> Ending:
-        passing = self._stage is _Stage.PASSING and self._cutter is None
+        passing = self._stage is _Stage.FORWARDING and self._cutter is None
         return Ending.CUT if passing else Ending.LOST
 
     def _refusal(self) -> Failure:
@@ -320,20 +324,22 @@
         if self._answer.misdirected:
             code = Code.WRONG_ENDPOINT
         reason = f"status {self._answer.status}"
-        after_s = _ENGINE_AGAIN_S if self.peer.load else _PLAIN_AGAIN_S
+        after_s = (
+            _ENGINE_RETRY_AFTER_S if self.peer.load else _PLAIN_RETRY_AFTER_S
+        )
         return failed(code, reason, executed=Executed.NO, retry_after_s=after_s)
 
     def _lost(self, end: End) -> Failure:
         return failed(Code.OUTCOME_UNKNOWN, f"the answer was {end.value}")
 
     def _cancelled(self, _: Deferred) -> None:
-        """Stops the endpoint's work, unless it must not be broken off.
+        """Drops the exchange, except for a non-idempotent request.
 
-        A non-idempotent request may be half done; its answer is of no use
-        any more, but cutting it would leave the endpoint with half a
-        booking and the caller with no way to learn of it.
+        A non-idempotent request may be half done. Its answer is no longer
+        needed, but dropping it would leave the endpoint with half a booking,
+        of which the caller could not find out.
         """
         self.done = None
-        self._sink.holds(None)
+        self._sink.set_source(None)
         if self._call.route.form is not RouteType.NON_IDEMPOTENT:
             self._flight.drop()
--- a/magnolialug/entry/httpcarrier.py
+++ b/magnolialug/entry/httpattemptrunner.py
@@ -1,9 +1,9 @@
-"""Attempts that go straight to endpoints over HTTP."""
+"""Makes a call's attempts directly at endpoints over HTTP."""
 
 from twisted.internet.defer import CancelledError
 
 from magnolialug.carrier.taker import End
-from magnolialug.entry.admissionrules import ahead_limit_s, waiting_of
+from magnolialug.entry.admissionrules import queued_work_limit_s, waiting_prompt
 from magnolialug.entry.callstate import CallState, Phase
 from magnolialug.entry.candidateprober import CandidateProber
 from magnolialug.entry.dispatch import Dispatch
@@ -24,27 +24,27 @@
 from magnolialug.requestlog import RequestLog
 from magnolialug.result import Failure
 
-__all__ = ["HttpCarrier"]
+__all__ = ["HttpAttemptRunner"]
 
-# Engines for whose memory a prompt waits at once. With more, owners promise
-# room that is taken elsewhere; with one, a prompt stands behind a slow answer
-# while others end.
-_LISTS = 4
+# Engines in whose admission queues a prompt waits at the same time. With more,
+# owners reserve memory for prompts that are admitted elsewhere; with one, a
+# prompt waits behind a slow answer while other engines become free.
+_MAX_ADMISSION_QUEUES = 4
 _FETCHED = {"moved": "fetched"}
 _SAVED = {"moved": "saved"}
-_CLOSED_ON_US = (End.RESET, End.CLOSED)
-_ENDPOINT_AT_FAULT = (*_CLOSED_ON_US, End.GARBAGE, End.SILENT)
+_CONNECTION_LOST = (End.RESET, End.CLOSED)
+_ENDPOINT_AT_FAULT = (*_CONNECTION_LOST, End.GARBAGE, End.SILENT)
 
 
-class HttpCarrier:
-    """Places a call at an endpoint and passes its answer on.
+class HttpAttemptRunner:
+    """Places a call at an endpoint and forwards its answer.
 
     Args:
       placer: chooses the endpoints.
-      prober: finds out what they have to do.
-      admission: where long prompts wait for memory.
+      prober: queries the load of the endpoints.
+      admission: queues large prompts until an engine has memory.
       quarantine: refuses requests that crash endpoints.
-      underway: the attempts that the process watches for silence.
+      active_attempts: the attempts in progress in this process.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         prober: CandidateProber,
         admission: AdmissionClient,
         quarantine: Quarantine,
-        underway: set[HttpAttempt],
+        active_attempts: set[HttpAttempt],
         clock,
         call: ForwardCall,
         sink: ForwardSink,
@@ -68,13 +68,13 @@
         self._prober = prober
         self._admission = admission
         self._quarantine = quarantine
-        self._underway = underway
+        self._active_attempts = active_attempts
         self._clock = clock
         self._call = call
         self._sink = sink
         self._avoid: set[EndpointId] = set()
-        self._kept: Outcome | None = None
-        self._number = 0
+        self._withheld: Outcome | None = None
+        self._attempts_made = 0
         self._attempt: HttpAttempt | None = None
         self._waited_s = 0.0
 
@@ -83,29 +83,29 @@
         placed = await self._place(progress)
         if isinstance(placed, Failure):
             self._log.emit(Event.NOT_PLACED, **explain(placed))
-            return self._kept_answer() or placed
+            return self._withheld_answer() or placed
         peer, dispatch = placed.peer, placed.dispatch
         self._log_placed(placed)
         outcome = await self._run(placed, progress)
-        self._learn(peer, dispatch, outcome)
+        self._record_outcome(peer, dispatch, outcome)
         self._log_outcome(dispatch, outcome)
         if outcome.ended is None:
             return self._served(progress)
         if outcome.ended.ending in (Ending.UNSENT, Ending.NOT_RUN):
-            self._placer.not_run(self._call, dispatch)
+            self._placer.record_not_run(self._call, dispatch)
         self._avoid.add(dispatch.endpoint)
-        if outcome.kept or outcome.ended.ending is Ending.FAILED:
-            self._kept = outcome
+        if outcome.withheld or outcome.ended.ending is Ending.FAILED:
+            self._withheld = outcome
         return outcome.ended
 
     async def _place(self, progress: Progress) -> Placed | Failure:
-        """Returns an endpoint, or why there is none."""
+        """Returns a placement, or the reason why there is none."""
         progress.seq = max(progress.seq, self._call.resume_after)
         refusal = self._quarantine.refusal(self._call.digest)
         if refusal:
             return refusal
-        known = await self._prober.probe(self._call, self._avoid)
-        admitted_by = await self._admit(known)
+        results = await self._prober.probe(self._call, self._avoid)
+        admitted_by = await self._admit(results)
         if isinstance(admitted_by, Failure):
             return admitted_by
         # The request may have been quarantined while it waited.
@@ -113,69 +113,71 @@
         if refusal:
             return refusal
         return self._placer.place(
-            self._call, progress, self._avoid, known, admitted_by
+            self._call, progress, self._avoid, results, admitted_by
         )
 
-    async def _admit(self, known: ProbeResults) -> EndpointId | Failure | None:
-        """Waits until an engine has room for a first attempt.
+    async def _admit(
+        self, results: ProbeResults
+    ) -> EndpointId | Failure | None:
+        """Queues a first attempt until an engine has room, if none has now.
 
         Returns:
-          the engine that has reserved its memory; None if there is no need.
+          the engine that has reserved memory; None if no queueing was needed.
         """
-        if self._number or not must_wait(known.candidates):
+        if self._attempts_made or not must_wait(results.candidates):
             return None
         begun = self._clock()
         admitted_by = await self._admission.enqueue(
-            waiting_of(self._call),
-            self._admission_requests(known),
-            ahead_limit_s(self._call),
+            waiting_prompt(self._call),
+            self._admission_requests(results),
+            queued_work_limit_s(self._call),
         )
         self._waited_s = self._clock() - begun
         return admitted_by
 
     def _admission_requests(
-        self, known: ProbeResults
+        self, results: ProbeResults
     ) -> list[AdmissionRequest]:
-        """Returns what the call would take of the cheapest engines."""
-        sound = [row for row in known.candidates if row.sound]
+        """Returns admission requests for the cheapest healthy engines."""
+        sound = [row for row in results.candidates if row.sound]
         sound.sort(key=lambda row: row.cost)
         return [
-            self._placer.admission_request(self._call, row.endpoint, known)
-            for row in sound[:_LISTS]
+            self._placer.admission_request(self._call, row.endpoint, results)
+            for row in sound[:_MAX_ADMISSION_QUEUES]
         ]
 
     @property
     def state(self) -> CallState:
-        """How far the newest attempt has come."""
+        """The progress of the newest attempt."""
         attempt = self._attempt
         if attempt is None:
             return CallState(Phase.UNPLACED, 0.0)
         return attempt.state(self._clock())
 
-    async def unrun(self) -> None:
-        """Has nothing to undo."""
+    async def mark_not_run(self) -> None:
+        """Does nothing: attempts over HTTP have no claim."""
 
-    def deliver_kept(self) -> bool:
-        """Passes on a failure that was kept back; false if there is none."""
-        kept, self._kept = self._kept, None
-        if kept is None or self._sink.opened or kept.answer is None:
+    def deliver_withheld(self) -> bool:
+        """Forwards a withheld failure; returns false if there is none."""
+        withheld, self._withheld = self._withheld, None
+        if withheld is None or self._sink.opened or withheld.answer is None:
             return False
-        answer = kept.answer
+        answer = withheld.answer
         self._sink.head(answer.status, answer.reason, answer.passed)
-        self._sink.data(kept.kept)
-        self._sink.whole()
+        self._sink.data(withheld.withheld)
+        self._sink.complete()
         return True
 
-    def _may_move(self) -> bool:
-        """Whether another endpoint may be tried while this one is silent."""
+    def _may_fail_over(self) -> bool:
+        """Whether another endpoint may be tried in place of this one."""
         return (
             self._call.kind.idempotent
-            and self._number < self._call.attempts
+            and self._attempts_made < self._call.attempts
             and self._budget.left(self._call.service) >= 1.0
         )
 
-    def _kept_answer(self) -> Served | None:
-        if not self.deliver_kept():
+    def _withheld_answer(self) -> Served | None:
+        if not self.deliver_withheld():
             return None
         return Served(None, 0, 0.0)
 
@@ -184,8 +186,10 @@
         prompt = self._call.prompt
         if prompt is not None:
             tokens = self._metrics.tokens
-            tokens.add(placed.unread, {"source": "read"})
-            tokens.add(prompt.tokens_in - placed.unread, {"source": "kept"})
+            tokens.add(placed.unread_tokens, {"source": "read"})
+            tokens.add(
+                prompt.tokens_in - placed.unread_tokens, {"source": "kept"}
+            )
             self._metrics.parts.add(sum(map(bool, to.fetch)), _FETCHED)
             self._metrics.parts.add(sum(map(bool, to.save)), _SAVED)
         self._log.emit(
@@ -195,12 +199,12 @@
             endpoint=to.endpoint,
             weights=to.weights,
             priority=to.priority,
-            unread=placed.unread,
+            unread=placed.unread_tokens,
             waited_s=round(self._waited_s, 3),
             room=placed.room,
             fetched=sum(map(bool, to.fetch)),
             saved=sum(map(bool, to.save)),
-            salt=to.salt,
+            salt=to.cache_namespace,
             parts=_named_sources(prompt, to),
             after_event=to.resume_after,
             left_s=round(self._call.deadline - self._clock(), 3),
@@ -241,14 +245,16 @@
             progress,
             self._sink,
             now,
-            now + placed.patience_s,
-            self._may_move,
-            lambda: self._placer.first_event(self._call, peer),
+            now + placed.answer_timeout_s,
+            self._may_fail_over,
+            lambda: self._placer.record_first_event(self._call, peer),
         )
         self._attempt = attempt
-        self._number += 1
-        self._placer.sent(self._call, peer, dispatch, placed.unread, now)
-        self._underway.add(attempt)
+        self._attempts_made += 1
+        self._placer.record_sent(
+            self._call, peer, dispatch, placed.unread_tokens, now
+        )
+        self._active_attempts.add(attempt)
         try:
             attempt.start(self._clock)
             return await attempt.done
@@ -256,25 +262,29 @@
             peer.health.probing = False
             raise
         finally:
-            self._underway.discard(attempt)
-            self._placer.over(self._call, peer)
+            self._active_attempts.discard(attempt)
+            self._placer.record_ended(self._call, peer)
 
     def _served(self, progress: Progress) -> Served:
-        self._sink.whole()
+        self._sink.complete()
         first_at = progress.first_at or self._clock()
         return Served(None, progress.seq, first_at - self._call.arrived)
 
-    def _learn(self, peer: Peer, dispatch: Dispatch, outcome: Outcome) -> None:
-        """Takes what the attempt tells of its endpoint, and of the request."""
-        self._learn_of_request(peer, outcome)
+    def _record_outcome(
+        self, peer: Peer, dispatch: Dispatch, outcome: Outcome
+    ) -> None:
+        """Updates the endpoint's health and the quarantine from an outcome."""
+        self._record_survival(peer, outcome)
         answer = outcome.answer
         if answer is not None and answer.misdirected:
-            self._placer.misdirected(self._call, peer, dispatch, answer)
+            self._placer.record_misdirected(self._call, peer, dispatch, answer)
         elif answer is not None and answer.not_run:
             peer.health.probing = False
             if peer.load is not None:
-                peer.turned_away(self._clock())
-        elif outcome.end is End.SILENT and peer.heard_at > outcome.sent_at:
+                peer.record_refusal(self._clock())
+        elif (
+            outcome.end is End.SILENT and peer.last_contact_at > outcome.sent_at
+        ):
             peer.health.answered(False)
         elif outcome.end is End.UNSENT or outcome.end in _ENDPOINT_AT_FAULT:
             peer.health.broke(self._clock())
@@ -282,23 +292,24 @@
         elif answer is not None:
             peer.health.answered(answer.status < 500)
             if answer.weights and self._call.prompt:
-                peer.heard_weights(self._call.prompt.model, answer.weights)
+                peer.record_weights(self._call.prompt.model, answer.weights)
         else:
             peer.health.probing = False
 
-    def _learn_of_request(self, peer: Peer, outcome: Outcome) -> None:
-        """Notes whether the endpoint lived through the request.
+    def _record_survival(self, peer: Peer, outcome: Outcome) -> None:
+        """Reports to the quarantine whether the endpoint survived the request.
 
-        One that leaves ends in order with what it has left.
+        A lost connection to an endpoint that is leaving does not count: it
+        shuts down in order and closes what is left.
         """
         answer = outcome.answer
         if answer is not None and answer.not_run:
             return
         if outcome.end is End.WHOLE:
             self._quarantine.survived(self._call.digest)
-        elif outcome.end in _CLOSED_ON_US and not peer.leaving:
+        elif outcome.end in _CONNECTION_LOST and not peer.leaving:
             self._quarantine.lost(
-                peer.start, peer.pool, self._call.digest, outcome.begun
+                peer.start_id, peer.pool, self._call.digest, outcome.begun
             )
 
 
--- a/magnolialug/entry/silencewatch.py
+++ b/magnolialug/entry/livenessmonitor.py
@@ -1,4 +1,4 @@
-"""Notices endpoints that have work and say nothing."""
+"""Detects endpoints that have work but send nothing."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,21 +11,22 @@
 from magnolialug.platform.enginecalls import EngineCalls
 from magnolialug.result import Failure
 
-__all__ = ["SilenceWatch"]
+__all__ = ["LivenessMonitor"]
 
-# An engine with running requests sends events every few dozen milliseconds,
-# and begins a prompt within half a second unless its queue is long; a queue
-# without any event in between is what a dead engine looks like.
+# An engine with running requests sends events every few dozen milliseconds, and
+# begins a prompt within half a second unless its queue is long. One that has
+# queued work and sends no event for longer is presumed to have failed.
 _SILENT_S = 0.8
-# A silent engine is asked for a report this often; a request would be lost.
-_PROBE_S = 0.5
+# Interval of report queries to a silent engine; a request would be lost there.
+_PROBE_INTERVAL_S = 0.5
 
 
-class SilenceWatch:
-    """Keeps new work from endpoints that have gone silent.
+class LivenessMonitor:
+    """Marks silent endpoints as unresponsive, so that they get no new work.
 
-    An engine that loses power answers nothing and closes nothing. Requests
-    would wait there until their deadlines, and more would be sent meanwhile.
+    An engine that loses power neither answers nor closes its connections.
+    Requests would wait there until their deadlines, and more would be sent
+    meanwhile.
     """
 
     def __init__(
@@ -39,46 +40,46 @@
         self._clock = clock
         self._probed: dict[Peer, float] = {}
 
-    def tick(self, underway: Iterable[HttpAttempt]) -> None:
-        """Looks at all attempts under way."""
+    def tick(self, active_attempts: Iterable[HttpAttempt]) -> None:
+        """Checks the endpoints of all attempts in progress."""
         now = self._clock()
         oldest: dict[Peer, float] = {}
-        for attempt in underway:
+        for attempt in active_attempts:
             first = oldest.get(attempt.peer, now)
             oldest[attempt.peer] = min(first, attempt.sent_at)
         for peer, since in oldest.items():
-            self._judge(peer, since, now)
+            self._check_peer(peer, since, now)
         for peer in list(self._probed):
             self._probe(peer, now)
 
-    def _judge(self, peer: Peer, since: float, now: float) -> None:
-        quiet_s = now - max(since, peer.heard_at)
-        if peer.mute or quiet_s < _SILENT_S or now < peer.closed_until:
+    def _check_peer(self, peer: Peer, since: float, now: float) -> None:
+        silent_s = now - max(since, peer.last_contact_at)
+        if peer.unresponsive or silent_s < _SILENT_S or now < peer.closed_until:
             return
-        peer.mute = True
+        peer.unresponsive = True
         self._probed[peer] = now
         emit(
             Event.ENDPOINT_SUSPECTED,
             endpoint=peer.listed.endpoint,
-            silent_s=round(quiet_s, 3),
+            silent_s=round(silent_s, 3),
             running=peer.running,
         )
 
     def _probe(self, peer: Peer, now: float) -> None:
-        if not peer.mute or peer.gone:
+        if not peer.unresponsive or peer.gone:
             del self._probed[peer]
         elif peer.evacuated:
             self._probed[peer] = now
-        elif now - self._probed[peer] >= _PROBE_S:
+        elif now - self._probed[peer] >= _PROBE_INTERVAL_S:
             self._probed[peer] = now
             if peer.load is None:
-                peer.heard(now)
+                peer.record_contact(now)
             else:
-                ensureDeferred(self._ask(peer))
+                ensureDeferred(self._request_report(peer))
 
-    async def _ask(self, peer: Peer) -> None:
+    async def _request_report(self, peer: Peer) -> None:
         report = await self._calls.report(peer.listed)
         if isinstance(report, Failure):
             return
-        if self._directory.reported(peer, report.born_ms):
-            peer.heard(self._clock())
+        if self._directory.verify_start(peer, report.born_ms):
+            peer.record_contact(self._clock())
--- a/magnolialug/entry/peer.py
+++ b/magnolialug/entry/peer.py
@@ -1,4 +1,4 @@
-"""One endpoint as the gateway uses it."""
+"""The gateway's state of one endpoint."""
 
 import msgspec
 
@@ -14,29 +14,31 @@
 
 __all__ = ["Peer"]
 
-# Loading weights takes 1.3 s: an entry that was not told meets a loading
-# engine about four times.
-_TURNED_AWAY_S = 0.3
-# What the others do at a plain service counts for this long after it was
-# told. Its answers take a tenth of a second.
-_STATE_TRUST_S = 0.2
+# Pause after a refusal. Loading weights takes 1.3 s, so an entry that does not
+# know of it is refused by a loading engine about four times.
+_REFUSED_PAUSE_S = 0.3
+# Maximum age of the reported load of other entries at a plain service, whose
+# answers take a tenth of a second.
+_SHARED_STATE_MAX_AGE_S = 0.2
 
 
 class Peer:
-    """An endpoint's connections, its health and what is under way there.
+    """An endpoint's connections, health and attempts in progress.
 
     Attributes:
       listed: its newest registry entry.
-      running: attempts under way from this process.
-      gone: whether the registry dropped it, or another has its address.
+      running: attempts in progress from this process.
+      gone: whether the registry dropped it, or another endpoint has its
+        address.
       evacuated: whether its availability zone is evacuated.
-      ended_at: when it was learned that it has started anew; None if not.
-      closed_until: its engine loads weights and turns new work away.
-      heard_at: when the last byte came from it.
-      mute: whether it has been silent for too long while it had work.
-      unreachable: whether the newest connection to it could not be made.
-      cold: bounds its new work after a start.
-      load: what is known of its engine, None for a plain service.
+      restarted_at: when its restart was detected, None if it has not restarted.
+      closed_until: until when it is assumed to refuse new work, for example
+        while its engine loads weights.
+      last_contact_at: when the last byte arrived from it.
+      unresponsive: whether it was silent for too long while it had work.
+      unreachable: whether the last connection attempt failed.
+      cold: limits its new work after a start.
+      load: the estimated load of its engine, None for a plain service.
     """
 
     def __init__(
@@ -55,37 +57,37 @@
         self.running = 0
         self.gone = False
         self.evacuated = False
-        self.ended_at: float | None = None
+        self.restarted_at: float | None = None
         self.closed_until = 0.0
-        self.heard_at = float("-inf")
-        self.mute = False
+        self.last_contact_at = float("-inf")
+        self.unresponsive = False
         self._running_elsewhere = 0
-        self._told_at = float("-inf")
+        self._shared_state_at = float("-inf")
         self._weights: dict[str, int] = dict(listed.weights)
-        self._denied: dict[str, int] = {}
+        self._excluded: dict[str, int] = {}
 
     @property
-    def start(self) -> EndpointId:
-        """Names this start of the endpoint, also where ids are kept."""
+    def start_id(self) -> EndpointId:
+        """The id of this start, distinct also if a restart keeps the id."""
         born = f"/{self.listed.born_ms}" if self.listed.born_ms else ""
         return EndpointId(f"{self.listed.endpoint}{born}")
 
     @property
     def leaving(self) -> bool:
-        """Whether it ends soon, or has ended."""
+        """Whether it is shutting down or has ended."""
         return self.gone or self.listed.leaving
 
     @property
     def accepts_work(self) -> bool:
-        """Whether new work may go to it, now or after a moment."""
+        """Whether it may get new work, now or when it is no longer cold."""
         return not self.leaving and not self.evacuated
 
     def may_send(self, now: float) -> bool:
-        """Whether new work may go to it at this moment."""
+        """Whether it may get new work now."""
         return self.accepts_work and self.cold.may_send(now)
 
     def state(self, now: float) -> str:
-        """Returns one word for what is believed of it."""
+        """Returns its last known state as a label."""
         if self.leaving:
             return "leaving"
         if self.evacuated:
@@ -97,27 +99,27 @@
         return "up" if self.sound(now) else "suspected"
 
     def sound(self, now: float) -> bool:
-        """Whether nothing speaks against sending it work."""
+        """Whether it is open, responsive and healthy."""
         closed = now < self.closed_until
-        return not closed and not self.mute and self.health.usable(now)
+        return not closed and not self.unresponsive and self.health.usable(now)
 
-    def heard(self, now: float) -> None:
-        """Learns that bytes came from it."""
-        self.heard_at = now
-        if self.mute or self.unreachable:
+    def record_contact(self, now: float) -> None:
+        """Records that bytes arrived from it."""
+        self.last_contact_at = now
+        if self.unresponsive or self.unreachable:
             self.presume_cold(now)
         self.unreachable = False
-        if self.mute:
-            self.mute = False
+        if self.unresponsive:
+            self.unresponsive = False
             emit(Event.ENDPOINT_BACK, endpoint=self.listed.endpoint)
 
     def presume_cold(self, now: float) -> None:
-        """Learns that it may have started a moment ago."""
+        """Treats it as cold, because it may have just restarted."""
         if self.cold.presume(now):
             self._log_cold(self.cold.length_s)
 
-    def starts_cold(self, now: float) -> None:
-        """Learns that it, or its zone, is back and therefore cold."""
+    def mark_cold(self, now: float) -> None:
+        """Marks it as cold after it, or its availability zone, came back."""
         if self.cold.start(now):
             self._log_cold(self.cold.length_s)
 
@@ -129,27 +131,27 @@
             interval_s=round(self.cold.interval_s, 3),
         )
 
-    def told(self, state: EndpointState, now: float) -> None:
-        """Takes what it has to do for the other entries."""
+    def apply_shared_state(self, state: EndpointState, now: float) -> None:
+        """Applies its state as reported by its owner, for all entries."""
         self._running_elsewhere = state.running
-        self._told_at = now
+        self._shared_state_at = now
         for model, version in state.weights.items():
-            self.heard_weights(model, version)
+            self.record_weights(model, version)
         for model, version in state.least.items():
-            self.denied_weights(model, version - 1)
+            self.exclude_weights(model, version - 1)
         cold_s = state.cold_ms / 1000
         if cold_s > 0 and self.cold.believe(now, cold_s):
             self._log_cold(cold_s)
         if self.load is not None:
             self.load.elsewhere(state, now)
 
-    def taken(self, now: float) -> int:
-        """Returns the requests under way there, from all entries."""
-        told = now - self._told_at <= _STATE_TRUST_S
-        return self.running + (self._running_elsewhere if told else 0)
+    def total_running(self, now: float) -> int:
+        """Returns the requests in progress there, from all entries."""
+        is_recent = now - self._shared_state_at <= _SHARED_STATE_MAX_AGE_S
+        return self.running + (self._running_elsewhere if is_recent else 0)
 
     def facts(self, now: float) -> EndpointFacts:
-        """Returns what the owner of its ledger must know."""
+        """Returns the facts for the owner of its ledger."""
         load = self.load
         return EndpointFacts(
             memory=load.memory if load else 0,
@@ -162,13 +164,13 @@
         )
 
     def share(self, now: float) -> WorkShare:
-        """Returns this entry's work there, as it is told to its owner."""
+        """Returns this entry's work there, as reported to its owner."""
         listed = self.listed
         cold_ms = round(max(0.0, self.cold.known_until - now) * 1000)
         if self.load is not None:
             return self.load.share(
                 listed.endpoint,
-                self.heard_at,
+                self.last_contact_at,
                 now,
                 listed.born_ms,
                 self.all_weights(),
@@ -189,56 +191,56 @@
         return model in self._weights
 
     def weights(self, model: str) -> int:
-        """Returns the version that it has of a model, 0 if not known."""
+        """Returns its version of a model, 0 if not known."""
         version = self._weights.get(model, 0)
-        return version if version > self._denied.get(model, 0) else 0
+        return version if version > self._excluded.get(model, 0) else 0
 
     def all_weights(self) -> dict[str, int]:
-        """Returns the newest version that it is known to have, by model."""
+        """Returns its newest known version of each model."""
         return dict(self._weights)
 
-    def least_weights(self, model: str) -> int:
-        """Returns the oldest version of a model that it can have."""
-        denied = self._denied.get(model)
+    def min_weights(self, model: str) -> int:
+        """Returns the lowest version of a model that it can have."""
+        excluded = self._excluded.get(model)
         version = self._weights.get(model, 0)
-        return version if denied is None else max(version, denied + 1)
+        return version if excluded is None else max(version, excluded + 1)
 
     def _unknown_weights(self) -> dict[str, int]:
-        """Returns the least version of models whose version is not known."""
+        """Returns the lowest possible version of models of unknown version."""
         return {
             model: version + 1
-            for model, version in self._denied.items()
+            for model, version in self._excluded.items()
             if version >= self._weights.get(model, 0)
         }
 
-    def heard_weights(self, model: str, version: int) -> None:
-        """Takes the version that one of its answers was made with."""
+    def record_weights(self, model: str, version: int) -> None:
+        """Records a version of a model that it has."""
         if version > self._weights.get(model, 0):
             self._weights[model] = version
             self.closed_until = 0.0
 
-    def denied_weights(self, model: str, version: int) -> None:
-        """Learns that it has another version than this; a newer one.
+    def exclude_weights(self, model: str, version: int) -> None:
+        """Records that it has a newer version of a model than this one.
 
-        An entry that is cut off from the registry goes on asking for the old
-        version, and every request is turned away. Until an answer tells the
-        new one, requests take any.
+        An entry that is cut off from the registry would keep requiring the old
+        version, and every request would be refused. Until an answer names the
+        new version, requests accept any.
         """
-        self._denied[model] = max(version, self._denied.get(model, 0))
+        self._excluded[model] = max(version, self._excluded.get(model, 0))
 
-    def turned_away(self, now: float) -> None:
-        """Learns that it takes no new work just now.
+    def record_refusal(self, now: float) -> None:
+        """Records that it refused new work.
 
-        Either its queue is full or it loads weights; both pass, and what is
-        sent meanwhile is turned away too.
+        Its queue is full or it is loading weights. Either is temporary, and
+        requests sent meanwhile would be refused too.
         """
-        self.closed_until = max(self.closed_until, now + _TURNED_AWAY_S)
+        self.closed_until = max(self.closed_until, now + _REFUSED_PAUSE_S)
 
-    def relist(self, listed: Listed, now: float) -> None:
-        """Takes a newer registry entry of the same start."""
+    def update_listing(self, listed: Listed, now: float) -> None:
+        """Applies a newer registry entry of the same start."""
         if listed.cold_s > 0 and self.cold.begin(now, listed.cold_s):
             self._log_cold(listed.cold_s)
         born_ms = listed.born_ms or self.listed.born_ms
         self.listed = msgspec.structs.replace(listed, born_ms=born_ms)
         for model, version in listed.weights.items():
-            self.heard_weights(model, version)
+            self.record_weights(model, version)
--- a/magnolialug/entry/placer.py
+++ b/magnolialug/entry/placer.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from magnolialug.entry.candidatelist import CandidateList
-from magnolialug.entry.costs import Costs
+from magnolialug.entry.costestimator import CostEstimator
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.dispatch import Dispatch
-from magnolialug.entry.dispatcher import Dispatcher
+from magnolialug.entry.dispatchbuilder import DispatchBuilder
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.entry.peer import Peer
 from magnolialug.entry.proberesults import ProbeResults
@@ -22,40 +22,41 @@
 from magnolialug.policy.weightbounds import WeightBounds
 from magnolialug.result import Code, Failure, failed
 
-__all__ = ["Placed", "Placer", "Listeners"]
+__all__ = ["Placed", "Placer", "AttemptCallbacks"]
 
-_TARGETS = 1.5
-_LEAST_PATIENCE_S = 0.1
-# An evacuation lasts seconds at least; callers come back at intervals that
-# neither flood the service nor waste its return.
+_ANSWER_TIMEOUT_TARGET_RATIO = 1.5
+_ANSWER_TIMEOUT_MARGIN_S = 0.1
+# Retry-After during an evacuation, which lasts seconds at least: long enough
+# not to flood the service, short enough to use it soon after its return.
 _EVACUATED_RETRY_S = 2.0
 
 
 class Placed(msgspec.Struct, frozen=True):
-    """A choice, what to tell the endpoint, and what it was compared with.
+    """A chosen endpoint, its parameters, and the compared candidates.
 
     Attributes:
-      unread: prompt tokens that the endpoint is expected to read.
-      patience_s: how long it may stay without an answer.
-      room: the free share of the engine's memory, without the request.
+      unread_tokens: prompt tokens that the endpoint is expected to read.
+      answer_timeout_s: the longest wait for the answer's head.
+      room: the free share of the engine's memory before this request.
     """
 
     peer: Peer
     dispatch: Dispatch
-    unread: int
-    patience_s: float
+    unread_tokens: int
+    answer_timeout_s: float
     compared: tuple[Candidate, ...]
     room: float | None = None
 
 
-class Listeners(msgspec.Struct, frozen=True):
-    """Who is told of attempts.
+class AttemptCallbacks(msgspec.Struct, frozen=True):
+    """Callbacks for the progress of attempts.
 
     Attributes:
-      sent: an attempt's endpoint, and the parts of its prompt.
-      changed: an endpoint at which an attempt has come further, or ended.
-      saving: an engine, a salt, and the parts that it will save under it.
-      save_cancelled: the same, once it will not save them after all.
+      sent: receives an attempt's endpoint and the parts of its prompt.
+      changed: receives an endpoint at which an attempt progressed or ended.
+      saving: receives an engine, a cache namespace, and the parts that the
+        engine will save in it.
+      save_cancelled: receives the same if the engine will not save them.
     """
 
     sent: Callable[[EndpointId, Placement | None], None]
@@ -67,10 +68,10 @@
 
 
 class Placer:
-    """Takes the cheapest candidate, and counts what is sent to it.
+    """Chooses the cheapest candidate and counts the attempts sent to it.
 
     Args:
-      bounds: which versions have been named.
+      bounds: the named versions of the weights.
       clock: returns the time in seconds.
     """
 
@@ -78,17 +79,17 @@
         self,
         directory: Directory,
         shortlist: CandidateList,
-        costs: Costs,
-        dispatcher: Dispatcher,
-        listeners: Listeners,
+        costs: CostEstimator,
+        dispatch_builder: DispatchBuilder,
+        callbacks: AttemptCallbacks,
         bounds: WeightBounds,
         clock: Callable[[], float],
     ):
         self._directory = directory
         self._shortlist = shortlist
         self._costs = costs
-        self._dispatcher = dispatcher
-        self._listeners = listeners
+        self._dispatch_builder = dispatch_builder
+        self._callbacks = callbacks
         self._bounds = bounds
         self._clock = clock
 
@@ -97,54 +98,56 @@
         call: ForwardCall,
         progress: Progress,
         avoid: set[EndpointId],
-        known: ProbeResults,
+        results: ProbeResults,
         admitted_by: EndpointId | None = None,
     ) -> Placed | Failure:
-        """Returns an endpoint and what to tell it.
+        """Returns an endpoint and the parameters to send to it.
 
-        A failure NO_ENDPOINT says that nothing was sent.
+        If there is no endpoint, nothing has been sent, and the failure is
+        NO_ENDPOINT, EVACUATED or COLD.
 
         Args:
-          known: what was found out for this choice.
-          admitted_by: the engine that has reserved its memory, None for none.
+          results: the probe results for this choice.
+          admitted_by: the engine that has reserved memory, None for none.
         """
-        candidates = [row for row in known.candidates if self._is_open(row)]
+        candidates = [row for row in results.candidates if self._is_open(row)]
         best = self._reserved(candidates, admitted_by) or choose(candidates)
         if best is None and avoid and call.kind.idempotent:
-            candidates = self._any(call, known.count)
+            candidates = self._all_candidates(call, results.count)
             best = choose(candidates)
         peer = self._directory.peers.get(best.endpoint) if best else None
         if peer is None:
             return self._no_endpoint(call.service)
         return Placed(
             peer,
-            self._dispatcher.dispatch(call, peer, progress.seq, known),
-            self._costs.unread(call, peer, known),
-            self.patience_s(call, best.cost),
+            self._dispatch_builder.build(call, peer, progress.seq, results),
+            self._costs.unread_tokens(call, peer, results),
+            self.answer_timeout_s(call, best.cost),
             tuple(candidates),
             None if peer.load is None else round(peer.load.room(0), 3),
         )
 
     def admission_request(
-        self, call: ForwardCall, endpoint: EndpointId, known: ProbeResults
+        self, call: ForwardCall, endpoint: EndpointId, results: ProbeResults
     ) -> AdmissionRequest:
-        """Returns what a large call would take of an engine."""
+        """Returns a request for the memory and work of a large call."""
         peer = self._directory.peers[endpoint]
-        unread = self._costs.unread(call, peer, known)
+        unread = self._costs.unread_tokens(call, peer, results)
         return AdmissionRequest(endpoint, call.prompt.memory_tokens, unread)
 
-    def patience_s(self, call: ForwardCall, expected_s: float) -> float:
-        """Returns how long an attempt may stay without an answer.
+    def answer_timeout_s(self, call: ForwardCall, expected_s: float) -> float:
+        """Returns the time after which an unanswered attempt may fail over.
 
-        An endpoint can hang on some requests while it answers others, and
-        nothing but the time tells. After half as long again as the target,
-        and twice what was expected, another endpoint is the better bet.
+        An endpoint can hang on some requests while it answers others, which
+        only a timeout detects. After 1.5 times the target and twice the
+        expected time, another endpoint is more likely to answer.
         """
         return max(
-            _TARGETS * call.route.target_s, 2 * expected_s + _LEAST_PATIENCE_S
+            _ANSWER_TIMEOUT_TARGET_RATIO * call.route.target_s,
+            2 * expected_s + _ANSWER_TIMEOUT_MARGIN_S,
         )
 
-    def sent(
+    def record_sent(
         self,
         call: ForwardCall,
         peer: Peer,
@@ -152,7 +155,7 @@
         unread: int,
         now: float,
     ) -> None:
-        """Counts an attempt at its endpoint."""
+        """Counts an attempt that is sent to its endpoint."""
         peer.running += 1
         peer.cold.sent(now)
         placement = None
@@ -161,7 +164,7 @@
         if peer.load is not None and call.prompt is not None:
             peer.load.sent(
                 call.name,
-                dispatch.salt,
+                dispatch.cache_namespace,
                 call.prompt,
                 unread,
                 dispatch.priority,
@@ -169,62 +172,66 @@
             )
             placement = Placement(
                 dispatch.endpoint,
-                dispatch.salt,
+                dispatch.cache_namespace,
                 call.prompt.shared,
                 peer.listed.born_ms,
             )
-            saves = self._dispatcher.saves(call.prompt, dispatch)
+            saves = self._dispatch_builder.planned_saves(call.prompt, dispatch)
             if saves:
-                self._listeners.saving(dispatch.endpoint, dispatch.salt, saves)
-        self._listeners.sent(dispatch.endpoint, placement)
+                self._callbacks.saving(
+                    dispatch.endpoint, dispatch.cache_namespace, saves
+                )
+        self._callbacks.sent(dispatch.endpoint, placement)
 
-    def first_event(self, call: ForwardCall, peer: Peer) -> None:
-        """Learns that an attempt's prompt has been read."""
+    def record_first_event(self, call: ForwardCall, peer: Peer) -> None:
+        """Records that an attempt's prompt has been read."""
         if peer.load is not None:
             peer.load.first_event(call.name, self._clock())
-            self._listeners.changed(peer.listed.endpoint)
+            self._callbacks.changed(peer.listed.endpoint)
 
-    def not_run(self, call: ForwardCall, dispatch: Dispatch) -> None:
-        """Learns that an attempt's endpoint has not run it and never will."""
+    def record_not_run(self, call: ForwardCall, dispatch: Dispatch) -> None:
+        """Records that an attempt did not run and never will."""
         if call.prompt is None:
             return
-        saves = self._dispatcher.saves(call.prompt, dispatch)
+        saves = self._dispatch_builder.planned_saves(call.prompt, dispatch)
         if saves:
-            endpoint, salt = dispatch.endpoint, dispatch.salt
-            self._listeners.save_cancelled(endpoint, salt, saves)
+            endpoint, namespace = dispatch.endpoint, dispatch.cache_namespace
+            self._callbacks.save_cancelled(endpoint, namespace, saves)
 
-    def over(self, call: ForwardCall, peer: Peer) -> None:
-        """Counts an attempt out."""
+    def record_ended(self, call: ForwardCall, peer: Peer) -> None:
+        """Removes an ended attempt from the counts of its endpoint."""
         peer.running -= 1
         if peer.load is not None:
             peer.load.ended(call.name)
-        self._listeners.changed(peer.listed.endpoint)
+        self._callbacks.changed(peer.listed.endpoint)
 
-    def misdirected(
+    def record_misdirected(
         self, call: ForwardCall, peer: Peer, to: Dispatch, answer: Answer
     ) -> None:
-        """Learns that a belief about an endpoint was wrong.
+        """Corrects the last known state of an endpoint after a mismatch.
 
-        Either another endpoint has its address, or it has other weights
-        than were asked for.
+        Either another endpoint has its address, or it has other weights than
+        the request expected.
         """
         if answer.instance and answer.instance != to.endpoint:
-            self._directory.found(peer, EndpointId(answer.instance))
+            self._directory.handle_address_taken(
+                peer, EndpointId(answer.instance)
+            )
         elif call.prompt is not None:
             model = call.prompt.model
-            peer.denied_weights(model, to.weights)
-            peer.heard_weights(
+            peer.exclude_weights(model, to.weights)
+            peer.record_weights(
                 model, self._bounds.only_newer(model, to.weights)
             )
-            self._listeners.changed(to.endpoint)
+            self._callbacks.changed(to.endpoint)
 
     def _is_open(self, candidate: Candidate) -> bool:
-        """Whether an endpoint still accepts work, after a wait for instance."""
+        """Whether an endpoint still accepts work, which a wait can change."""
         peer = self._directory.peers.get(candidate.endpoint)
         return peer is not None and peer.may_send(self._clock())
 
     def _no_endpoint(self, service: ServiceName) -> Failure:
-        """Returns why no endpoint of a service can be sent anything."""
+        """Returns why no endpoint of a service accepts a request."""
         if self._directory.is_evacuated(service):
             return failed(Code.EVACUATED, retry_after_s=_EVACUATED_RETRY_S)
         wait_s = self._directory.cold_wait_s(service)
@@ -232,11 +239,11 @@
             return failed(Code.COLD, retry_after_s=wait_s)
         return failed(Code.NO_ENDPOINT, retry_after_s=1.0)
 
-    def _any(self, call: ForwardCall, count: int) -> list[Candidate]:
-        """Returns candidates by own beliefs, those tried before among them."""
-        known = ProbeResults(count)
+    def _all_candidates(self, call: ForwardCall, count: int) -> list[Candidate]:
+        """Returns candidates from local state alone, tried ones included."""
+        results = ProbeResults(count)
         return [
-            self._costs.candidate(call, peer, rank, known)
+            self._costs.candidate(call, peer, rank, results)
             for rank, peer in enumerate(
                 self._shortlist.peers(call, set(), count)
             )
@@ -245,7 +252,7 @@
     def _reserved(
         self, candidates: list[Candidate], admitted_by: EndpointId | None
     ) -> Candidate | None:
-        """Returns the candidate that has reserved memory, if it is usable."""
+        """Returns the candidate that has reserved memory, if it is healthy."""
         peer = self._directory.peers.get(admitted_by) if admitted_by else None
         now = self._clock()
         if not peer or not peer.may_send(now) or not peer.sound(now):
--- a/magnolialug/entry/proberesults.py
+++ b/magnolialug/entry/proberesults.py
@@ -1,4 +1,4 @@
-"""What has been found out for one choice."""
+"""Results of the probes for one placement decision."""
 
 import msgspec
 
@@ -12,12 +12,12 @@
 
 
 class ProbeResults(msgspec.Struct):
-    """The endpoints that were asked about, and the answers.
+    """The queried endpoints and the replies of their owners.
 
     Attributes:
-      count: how many of the first on the ring were looked at.
-      states: of the endpoints whose owners have replied.
-      stored: what the owners of stores tell of the prompt's shared parts.
+      count: how many endpoints from the start of the ring were considered.
+      states: the states of the endpoints whose owners replied.
+      stored: what the owners of stores report of the prompt's shared parts.
       candidates: the endpoints with their costs.
     """
 
--- a/magnolialug/entry/progress.py
+++ b/magnolialug/entry/progress.py
@@ -1,4 +1,4 @@
-"""What a caller has had so far, and how attempts and calls end."""
+"""Delivered output of a call, and the results of attempts and calls."""
 
 import msgspec
 
@@ -10,12 +10,12 @@
 
 
 class Progress(msgspec.Struct):
-    """What the caller has had so far, over all attempts.
+    """The output delivered to the caller so far, over all attempts.
 
     Attributes:
-      seq: the last piece or event that was delivered.
-      text: the pieces, where an attempt may need them to go on.
-      first_at: when the first one was delivered.
+      seq: the number of the last delivered piece or event.
+      text: the delivered pieces, kept where an attempt may need them to resume.
+      first_at: when the first piece was delivered, None before that.
     """
 
     seq: int = 0
@@ -24,17 +24,17 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """How an attempt ended without a whole answer."""
+    """The result of an attempt that ended without a complete answer."""
 
     ending: Ending
     failure: Failure
 
 
 class Served(msgspec.Struct, frozen=True):
-    """A whole answer: what was delivered and what it took.
+    """The result of a complete answer.
 
     Attributes:
-      done: the sidecar's word, None for an answer that has none.
+      done: the sidecar's final message, None if the answer has none.
     """
 
     done: Done | None
--- a/magnolialug/entry/rolloutcommands.py
+++ b/magnolialug/entry/rolloutcommands.py
@@ -230,7 +230,7 @@
         if isinstance(report, Failure):
             state.failures += 1
             return None
-        if not self._directory.reported(peer, report.born_ms):
+        if not self._directory.verify_start(peer, report.born_ms):
             return None
         state.failures = 0
         for model, version in report.weights.items():
@@ -276,12 +276,12 @@
         elif reply is OrderReply.FENCED:
             self._lease.fenced()
         elif reply is OrderReply.MISPLACED:
-            self._directory.misplaced(peer)
+            self._directory.retire(peer)
         return reply
 
     def _heard(self, peer: Peer, model: str, version: int) -> None:
         if version > peer.weights(model):
-            peer.heard_weights(model, version)
+            peer.record_weights(model, version)
             self._on_heard(peer.listed.endpoint)
             emit(
                 Event.WEIGHTS_TAKEN,
--- a/magnolialug/entry/sink.py
+++ b/magnolialug/entry/sink.py
@@ -30,7 +30,7 @@
 class CallerSink:
     """Streams server-sent events, or gathers one JSON answer.
 
-    It is the response's producer: when the caller's socket is full, `piece`
+    It is the response's producer: when the caller's socket is full, `write_piece`
     does not return, so no further ack is sent and the sidecar stops sending.
 
     Attributes:
@@ -61,11 +61,11 @@
         self._room: Deferred | None = None
         req.notifyFinish().addErrback(self._left)
 
-    def opened(self, request_id: RequestId) -> None:
+    def set_request_id(self, request_id: RequestId) -> None:
         """Learns the id under which the answer can be asked for."""
         self.request_id = request_id
 
-    async def piece(self, seq: int, text: str) -> None:
+    async def write_piece(self, seq: int, text: str) -> None:
         """Takes one piece; returns when the caller has room for more."""
         if self.gone:
             return
--- a/magnolialug/entry/upstream.py
+++ b/magnolialug/entry/upstream.py
@@ -1,4 +1,4 @@
-"""One entry's connection to one sidecar."""
+"""An entry's connection to one sidecar."""
 
 from collections.abc import Callable
 from random import Random
@@ -17,7 +17,7 @@
 from magnolialug.wire import messages as msg
 from magnolialug.wire.link import Link
 
-__all__ = ["LinkLost", "Upstream", "UpstreamOwner"]
+__all__ = ["LinkLost", "Upstream", "UpstreamCallbacks"]
 
 _CONNECT_S = 2.0
 
@@ -28,16 +28,16 @@
     failure: Failure
 
 
-class UpstreamOwner(msgspec.Struct, frozen=True):
-    """What an upstream tells its entry.
+class UpstreamCallbacks(msgspec.Struct, frozen=True):
+    """Callbacks from an upstream to its entry.
 
     Attributes:
       connect: opens a link to the endpoint's sidecar.
-      hello: makes the first message.
-      on_status: gets each status.
-      on_up: gets the endpoint when its connection works.
-      on_down: gets the endpoint when its connection is gone.
-      on_config: gets configuration messages and the link they came on.
+      hello: returns the first message.
+      on_status: receives each status.
+      on_up: receives the upstream when its connection is ready.
+      on_down: receives the upstream when its connection is lost.
+      on_config: receives configuration messages and the link they came on.
     """
 
     connect: Callable[[EndpointId], Deferred]
@@ -50,12 +50,13 @@
 
 
 class Upstream:
-    """Owns the connection, reopens it, and sorts what comes by request.
+    """Keeps a connection open and delivers its messages by request.
 
     Attributes:
-      incarnation: the sidecar start it last spoke with.
-      clock_offset: the sidecar's clock minus ours, in seconds.
-      mailboxes: by request id, of the tasks that wait for an answer.
+      incarnation: the sidecar start of the last connection.
+      clock_offset: the sidecar's clock minus this process's, in seconds.
+      mailboxes: the mailboxes of the tasks that wait for an answer, by
+        request id.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         endpoint: EndpointId,
         clock: IReactorTime,
         random: Random,
-        owner: UpstreamOwner,
+        callbacks: UpstreamCallbacks,
     ):
         self.endpoint = endpoint
         self.incarnation = Incarnation("")
@@ -71,7 +72,7 @@
         self.mailboxes: dict[str, list[Mailbox]] = {}
         self._clock = clock
         self._random = random
-        self._owner = owner
+        self._callbacks = callbacks
         self._link: Link | None = None
         self._ready = False
         self._waiters: list[Deferred] = []
@@ -87,11 +88,11 @@
     def start(self) -> None:
         """Opens the connection and keeps it open until `stop`."""
         self._timer = None
-        fut = self._owner.connect(self.endpoint)
+        fut = self._callbacks.connect(self.endpoint)
         fut.addCallbacks(self._connected, self._unreachable)
 
     def retire(self) -> None:
-        """Keeps the connection as long as it lasts, but opens no other."""
+        """Keeps the current connection, but does not reconnect."""
         self._stopped = True
         if self._timer and self._timer.active():
             self._timer.cancel()
@@ -103,7 +104,7 @@
             self._link.close()
 
     def born(self) -> float:
-        """Returns the sidecar's clock as we know it, never ahead of it."""
+        """Returns the estimated sidecar clock, never ahead of it."""
         return self._clock.seconds() + self.clock_offset
 
     def send(self, message: msg.Message) -> bool:
@@ -125,17 +126,17 @@
         return result is not TIMED_OUT
 
     def open_mailbox(self, request_id: str) -> Mailbox:
-        """Returns a new mailbox for what concerns a request."""
-        box: Mailbox = Mailbox(self._clock)
-        self.mailboxes.setdefault(request_id, []).append(box)
-        return box
-
-    def close_mailbox(self, request_id: str, box: Mailbox) -> None:
-        """Forgets a mailbox."""
-        boxes = self.mailboxes.get(request_id, [])
-        if box in boxes:
-            boxes.remove(box)
-        if not boxes:
+        """Returns a new mailbox for the messages of a request."""
+        mailbox: Mailbox = Mailbox(self._clock)
+        self.mailboxes.setdefault(request_id, []).append(mailbox)
+        return mailbox
+
+    def close_mailbox(self, request_id: str, mailbox: Mailbox) -> None:
+        """Removes a mailbox."""
+        mailboxes = self.mailboxes.get(request_id, [])
+        if mailbox in mailboxes:
+            mailboxes.remove(mailbox)
+        if not mailboxes:
             self.mailboxes.pop(request_id, None)
 
     def _connected(self, link: Link) -> None:
@@ -145,8 +146,8 @@
             return
         link.on_message = self._received
         link.on_down = self._lost
-        link.heartbeat = self._owner.ping
-        link.send(self._owner.hello())
+        link.heartbeat = self._callbacks.ping
+        link.send(self._callbacks.hello())
 
     def _unreachable(self, reason) -> None:
         if reason.check(CancelledError):
@@ -162,10 +163,10 @@
         was_ready, self._ready = self._ready, False
         if was_ready:
             emit(Event.LINK_DOWN, peer=self.endpoint, **explain(failure))
-        self._owner.on_down(self, failure)
-        for boxes in list(self.mailboxes.values()):
-            for box in list(boxes):
-                box.put(LinkLost(failure))
+        self._callbacks.on_down(self, failure)
+        for mailboxes in list(self.mailboxes.values()):
+            for mailbox in list(mailboxes):
+                mailbox.put(LinkLost(failure))
         if not self._stopped:
             pause = self._backoff.next(self._random)
             self._timer = self._clock.callLater(pause, self.start)
@@ -174,16 +175,16 @@
         if isinstance(message, msg.Welcome):
             self._welcome(message)
         elif isinstance(message, msg.Status):
-            self._owner.on_status(self, message)
+            self._callbacks.on_status(self, message)
         elif isinstance(message, msg.ConfigDoc | msg.ConfigWant):
-            self._owner.on_config(self._link, message)
-        elif isinstance(message, _FOR_A_REQUEST):
-            self._sort(message.attempt, message)
+            self._callbacks.on_config(self._link, message)
+        elif isinstance(message, _REQUEST_MESSAGES):
+            self._deliver(message.attempt, message)
         else:
             self._link.drop(
                 failed(
                     Code.FRAME_ILL_TYPED,
-                    "a sidecar does not send this",
+                    "a sidecar must not send this type of message",
                     value=type(message).__name__,
                 )
             )
@@ -194,19 +195,18 @@
         self._ready = True
         self._backoff = Backoff()
         emit(Event.LINK_UP, peer=self.endpoint)
-        self._owner.on_up(self)
+        self._callbacks.on_up(self)
         waiters, self._waiters = self._waiters, []
         for fut in waiters:
             fut.callback(True)
 
-    def _sort(self, attempt: Attempt, message: msg.Message) -> None:
-        """Hands a message to those who wait for its request.
+    def _deliver(self, attempt: Attempt, message: msg.Message) -> None:
+        """Delivers a message to the mailboxes of its request.
 
-        Messages of a request that nobody waits for any more, late or
-        crossed, find no mailbox and are dropped here.
+        Late messages of a request that has no mailbox any more are dropped.
         """
-        for box in list(self.mailboxes.get(attempt.request_id, ())):
-            box.put(message)
+        for mailbox in list(self.mailboxes.get(attempt.request_id, ())):
+            mailbox.put(message)
 
 
-_FOR_A_REQUEST = (msg.Token, msg.Done, msg.Refused, msg.Outcome)
+_REQUEST_MESSAGES = (msg.Token, msg.Done, msg.Refused, msg.Outcome)
--- a/magnolialug/entry/web.py
+++ b/magnolialug/entry/web.py
@@ -221,8 +221,8 @@
             name != "plain",
             True,
         )
-        sink.opened(request_id)
-        fut = ensureDeferred(self._app.reread(team, request_id, after, sink))
+        sink.set_request_id(request_id)
+        fut = ensureDeferred(self._app.replay(team, request_id, after, sink))
         sink.on_gone = fut.cancel
         fut.addCallback(sink.end)
         fut.addErrback(_failed, sink)
--- a/magnolialug/measure/ablation.py
+++ b/magnolialug/measure/ablation.py
@@ -42,18 +42,29 @@
 MECHANISMS = (
     Mechanism("nothing", "entry/admissionrules.py", "_LARGE_SHARE", "0.04"),
     Mechanism("waiting", "entry/admissionrules.py", "_LARGE_SHARE", "9.0"),
-    Mechanism("several lists", "entry/httpcarrier.py", "_LISTS", "1"),
+    Mechanism(
+        "several lists",
+        "entry/httpattemptrunner.py",
+        "_MAX_ADMISSION_QUEUES",
+        "1",
+    ),
     Mechanism("large ones first", "policy/admissionorder.py", "_SIZE_S", "0.0"),
     Mechanism("early refusal", "policy/admissionorder.py", "_TELLING", "10**9"),
-    Mechanism("asking more", "entry/candidateprober.py", "_ROUNDS", "(3,)"),
-    Mechanism("asking anybody", "entry/candidateprober.py", "_ROUNDS", "(1,)"),
     Mechanism(
-        "what is ahead", "entry/admissionrules.py", "_AHEAD_SHARE", "99.0"
+        "asking more", "entry/candidateprober.py", "_ROUND_SIZES", "(3,)"
+    ),
+    Mechanism(
+        "asking anybody", "entry/candidateprober.py", "_ROUND_SIZES", "(1,)"
+    ),
+    Mechanism(
+        "what is ahead", "entry/admissionrules.py", "_QUEUED_WORK_SHARE", "99.0"
     ),
     Mechanism("headroom", "policy/endpointledger.py", "HEADROOM", "-0.1"),
     Mechanism("shared silence", "policy/endpointledger.py", "_SILENT_S", "1e9"),
-    Mechanism("own silence", "entry/silencewatch.py", "_SILENT_S", "1e9"),
-    Mechanism("zone price", "entry/costs.py", "_OTHER_ZONE_S", "0.0"),
+    Mechanism("own silence", "entry/livenessmonitor.py", "_SILENT_S", "1e9"),
+    Mechanism(
+        "zone price", "entry/costestimator.py", "_CROSS_ZONE_COST_S", "0.0"
+    ),
     Mechanism("room price", "policy/enginecost.py", "_ROOM_S", "0.0"),
     Mechanism("reading again", "policy/enginecost.py", "_READ_AGAIN", "0.0"),
     Mechanism("place on the ring", "policy/enginecost.py", "_RANK_S", "0.0"),
@@ -67,7 +78,9 @@
     ),
     Mechanism("second store owner", "prefixcache/wiring.py", "_OWNERS", "1"),
     Mechanism("stand-ins", "owners/ownerring.py", "FIRST", "1"),
-    Mechanism("patience", "entry/placer.py", "_TARGETS", "1e9"),
+    Mechanism(
+        "patience", "entry/placer.py", "_ANSWER_TIMEOUT_TARGET_RATIO", "1e9"
+    ),
     Mechanism("health pauses", "policy/health.py", "_FIRST_PAUSE_S", "0.0"),
 )
 
--- a/magnolialug/measure/gatewayslopes.py
+++ b/magnolialug/measure/gatewayslopes.py
@@ -14,7 +14,7 @@
     Share,
 )
 from magnolialug.entry.candidatelist import CandidateList
-from magnolialug.entry.costs import Costs
+from magnolialug.entry.costestimator import CostEstimator
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.dispatch import Dispatch
 from magnolialug.entry.eventcutter import EventCutter
@@ -143,7 +143,7 @@
     directory = _directory(engines)
     bounds = WeightBounds(bound_s=12.0)
     shortlist = CandidateList(directory, "zone-1", bounds, lambda: 0.0)
-    costs = Costs("zone-1", StoreMap(), lambda: 0.0)
+    costs = CostEstimator("zone-1", StoreMap(), lambda: 0.0)
     call = _call()
 
     def step() -> None:
--- a/magnolialug/owners/dissemination.py
+++ b/magnolialug/owners/dissemination.py
@@ -17,9 +17,9 @@
     """The newest rollout that this entry knows, and when it was heard."""
 
     rollout: Rollout | None
-    rollout_at: float
+    rollout_received_at: float
 
-    def rolls_out(self, rollout: Rollout) -> None:
+    def update_rollout(self, rollout: Rollout) -> None:
         """Takes a rollout that another entry knows."""
 
 
@@ -75,13 +75,13 @@
         since = self._clock() - _RECENT_S
         rollouts, evacuations = self._rollouts, self._evacuations
         return News(
-            rollouts.rollout if rollouts.rollout_at > since else None,
+            rollouts.rollout if rollouts.rollout_received_at > since else None,
             evacuations.known if evacuations.known_at > since else None,
         )
 
     def take(self, news: News) -> None:
         """Takes what another entry knows."""
         if news.rollout is not None:
-            self._rollouts.rolls_out(news.rollout)
+            self._rollouts.update_rollout(news.rollout)
         if news.evacuated is not None:
             self._evacuations.hear(news.evacuated)
--- a/magnolialug/platform/requests.py
+++ b/magnolialug/platform/requests.py
@@ -237,7 +237,7 @@
 def _prompt_lines(call: ForwardCall, to: Dispatch) -> list[bytes]:
     lines = [
         b"X-Request-Priority: %d" % to.priority,
-        b"X-Cache-Salt: " + to.salt.encode("latin-1"),
+        b"X-Cache-Salt: " + to.cache_namespace.encode("latin-1"),
     ]
     if to.weights:
         lines.append(b"X-Expect-Version: %d" % to.weights)
--- a/tests/entry/test_admission.py
+++ b/tests/entry/test_admission.py
@@ -1,4 +1,4 @@
-"""Long prompts that wait until an engine has memory for them."""
+"""Tests of large prompts that queue until an engine has memory."""
 
 from testtools import TestCase
 
@@ -10,10 +10,10 @@
 
 
 class AdmissionTest(TestCase):
-    """One engine, and more long prompts than its memory holds."""
+    """One engine, and more large prompts than its memory holds."""
 
     def started(self, gap_s, target_ms=400):
-        """Returns a cluster whose engine writes four events in such gaps."""
+        """Returns a cluster and its engine, which pauses `gap_s` per event."""
         operator = config()
         for row in operator["routes"]:
             row["targetLatencyMs"] = target_ms
@@ -25,20 +25,18 @@
         return cluster, engine
 
     def send(self, cluster, number):
-        """Sends a long prompt, and lets it be read."""
+        """Sends a large prompt and lets the engine read it."""
         parts = LONG.format(f"o{number}")
         caller = cluster.send("/draft/x", parts=parts, tokens=TOKENS)
         cluster.pass_time(0.1)
         return caller
 
-    def test_one_that_does_not_fit_waits_for_its_turn(self):
-        """Engines push prompts out that they have begun to write.
+    def test_prompt_that_does_not_fit_is_queued(self):
+        """Guards against engines that evict prompts they are answering.
 
-        Symptom: streams stop in their middle for seconds, and engines read
-        the same prompts again and again while their memory is full. Sequence:
-        more prompts are sent than fit, the newest is pushed out and read
-        again, all are written more slowly and hold their memory for longer.
-        Cause: memory was only a cost among others.
+        If more prompts are sent than fit, the engine evicts the newest and
+        reads it again; streams pause for seconds, all answers are slower and
+        hold their memory for longer. Memory was only one of several costs.
         """
         cluster, engine = self.started(gap_s=0.1)
         callers = [self.send(cluster, n) for n in range(3)]
@@ -47,12 +45,12 @@
         self.assertEqual(3, len(engine.ran))
         self.assertEqual([200] * 3, [c.last.status for c in callers])
 
-    def test_one_waits_while_an_engine_has_much_to_read(self):
-        """An engine that has just come back gets everything that waited.
+    def test_prompt_is_queued_while_an_engine_has_long_prefill_queue(self):
+        """Guards against one engine that gets all queued prompts.
 
-        Symptom: prompts that were sent to an idle engine have their first
-        event after 3 s, while others have become free. Cause: an empty memory
-        was all that was asked for.
+        An engine that had just come back got every queued prompt, because only
+        its free memory was checked. Their first events came after 3 s, while
+        other engines had become free.
         """
         cluster, engine = self.started(gap_s=0.01)
         engine.work_s = 0.5
@@ -62,11 +60,11 @@
         cluster.pass_time(1)
         self.assertEqual(2, len(engine.ran))
 
-    def test_nobody_else_waits_behind_them(self):
-        """Others are held up, or refused, while long prompts wait.
+    def test_other_requests_do_not_queue_behind_large_prompts(self):
+        """Guards against queueing requests that need no admission.
 
-        Symptom: bookings are refused for want of an engine's memory. Cause:
-        whoever came while somebody waited was made to wait as well.
+        Every request that arrived while a large prompt was queued had to queue
+        as well, and bookings were refused for lack of an engine's memory.
         """
         cluster, engine = self.started(gap_s=1)
         for number in range(3):
@@ -77,11 +75,11 @@
         self.assertEqual(3, len(engine.ran))
         self.assertEqual(200, caller.last.status)
 
-    def test_nobody_takes_the_room_that_a_large_one_waits_for(self):
-        """Small prompts fill whatever room an engine gets.
+    def test_smaller_prompts_do_not_starve_a_queued_large_one(self):
+        """Guards against starvation of the largest prompts.
 
-        Symptom: of the largest tenth of the prompts hardly any is served.
-        Cause: whoever fitted went ahead of the one that came first.
+        Any prompt that fitted overtook the one that was queued first, so hardly
+        any of the largest tenth of the prompts was served.
         """
         cluster, engine = self.started(gap_s=0.2, target_ms=2000)
         for number in range(2):
@@ -98,7 +96,7 @@
         self.assertEqual(200, large.last.status)
         self.assertEqual([200] * 3, [c.last.status for c in small])
 
-    def test_who_waits_in_vain_is_refused_and_may_come_back(self):
+    def test_prompt_that_cannot_meet_its_deadline_is_refused(self):
         cluster, engine = self.started(gap_s=1.2)
         callers = [self.send(cluster, n) for n in range(3)]
         cluster.pass_time(2.2)
@@ -107,7 +105,7 @@
         self.assertIn("retry-after", last.headers)
         self.assertEqual(2, len(engine.ran))
 
-    def test_who_leaves_makes_room_for_the_next(self):
+    def test_cancelled_prompt_leaves_the_queue(self):
         cluster, engine = self.started(gap_s=0.2)
         callers = [self.send(cluster, n) for n in range(4)]
         callers[2].pipe.loseConnection()
@@ -117,18 +115,18 @@
         self.assertEqual(0, cluster.gateway.owners.admission_client.waiting)
         self.assertEqual(0, cluster.gateway.owners.admission_queues.waiting)
 
-    def test_a_prompt_larger_than_any_memory_goes_to_an_idle_engine(self):
+    def test_prompt_larger_than_any_memory_goes_to_an_idle_engine(self):
         cluster, engine = self.started(gap_s=0.1)
         cluster.send("/draft/x", parts="aa:150000,o:1000", tokens="151000,9")
         cluster.pass_time(0.5)
         self.assertEqual(1, len(engine.ran))
 
-    def test_what_callers_allow_is_not_what_answers_take(self):
-        """Engines are believed full with a fifth of their memory free.
+    def test_memory_estimate_uses_the_length_hint(self):
+        """Guards against queueing while an engine has enough memory.
 
-        Symptom: long prompts wait while engines have room. Cause: each
-        request was taken to need all the tokens that its caller allows for,
-        two to three times what answers have.
+        Each request was assumed to need all the tokens that its caller allows,
+        two to three times what answers have. Engines with a fifth of their
+        memory free counted as full.
         """
         cluster, engine = self.started(gap_s=1)
         for number in range(2):
--- a/tests/entry/test_candidate_prober.py
+++ b/tests/entry/test_candidate_prober.py
@@ -1,4 +1,4 @@
-"""PendingQueries to owners while a caller waits, and leaves."""
+"""Tests of queries to owners whose caller disconnects."""
 
 from loguru import logger
 from testtools import TestCase
@@ -9,15 +9,14 @@
 
 
 class LeavingCallerTest(TestCase):
-    """A caller leaves before the owners have answered."""
+    """A caller disconnects before the owners have replied."""
 
-    def test_a_call_that_is_given_up_is_no_failed_task(self):
-        """A machine stands still; its callers leave before it wakes.
+    def test_cancelled_call_is_not_logged_as_failed_task(self):
+        """Guards against TASK_FAILED for a call that was only cancelled.
 
-        Symptom: line 9000 TASK_FAILED with a traceback for a call that was
-        only given up. Sequence: a call waits for owners that do not answer, its
-        caller leaves, both questions are cancelled at once. Cause: what waits
-        for both wraps the cancellation in an error of its own.
+        A call waits for owners that do not reply, its caller disconnects, and
+        the queries for load and parts are cancelled together. A wait for both
+        of them wrapped the cancellation in an error of its own.
         """
         lines = []
         events._bounds = LogBounds()
--- a/tests/entry/test_cold_endpoints.py
+++ b/tests/entry/test_cold_endpoints.py
@@ -1,7 +1,8 @@
-"""Endpoints that have just started, and how much reaches them.
+"""Tests of the request rate that reaches cold endpoints.
 
-The pattern: endpoints come back after a crash, a silence or an evacuation,
-look idle to every gateway at once, and crash under what is sent.
+They guard against one failure: endpoints that come back after a crash, a
+silence or an evacuation look idle to every gateway at once, and crash under the
+load that all gateways send.
 """
 
 from testtools import TestCase
@@ -11,8 +12,8 @@
 
 COLD_S = 3.0
 PER_S = 6.0
-# The bound that the platform sets: half as much again, and five.
-MOST_PER_S = PER_S * 1.5 + 5
+# The platform's limit: 1.5 times the announced rate, plus five.
+MAX_PER_S = PER_S * 1.5 + 5
 VMS = ("front-1", "front-2", "front-3")
 _PATH = ("10.9.9.1", 1)
 
@@ -60,11 +61,11 @@
             for at in self.arrivals or [0.0]
         )
 
-    def test_a_warm_endpoint_gets_its_half(self):
+    def test_warm_endpoint_gets_its_share(self):
         self.load(2)
-        self.assertGreater(self.busiest_second(), MOST_PER_S)
+        self.assertGreater(self.busiest_second(), MAX_PER_S)
 
-    def test_one_that_has_just_started_gets_little(self):
+    def test_rate_is_limited_after_a_start(self):
         self.cluster.start_again(self.desk, 5000, told=False)
         self.cluster.relist(
             self.desk, born=5000, coldRemainingMs=int(COLD_S * 1000)
@@ -73,18 +74,18 @@
         self.arrivals.clear()
         callers = self.load(COLD_S - 0.4)
         self.assertGreater(len(self.arrivals), 0)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
         self.assertEqual({200}, {c.last.status for c in callers[:-5]})
 
-    def test_one_that_turns_cold_again_gets_little(self):
+    def test_rate_is_limited_when_endpoint_announces_it_is_cold(self):
         self.cluster.relist(self.desk, coldRemainingMs=int(COLD_S * 1000))
         self.cluster.pass_time(0.3)
         self.arrivals.clear()
         self.load(COLD_S - 0.4)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
 
-    def test_one_of_an_evacuated_zone_gets_little_when_it_is_taken_back(self):
-        """Its entry tells that it is cold a heartbeat after the return."""
+    def test_rate_is_limited_when_a_zone_returns_from_evacuation(self):
+        """The registry entry shows the cold start only a heartbeat later."""
         other = self.cluster.add_desk("b")
         self.cluster.write("op/evacuate/a", {})
         self.cluster.pass_time(1)
@@ -92,11 +93,11 @@
         self.cluster.pass_time(0.3)
         self.arrivals.clear()
         self.load(COLD_S - 0.4)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
         self.assertGreater(len(other.seen), 60)
 
-    def test_the_same_if_all_of_it_is_heard_at_once(self):
-        """Guards against an evacuation that is over before it is heard of."""
+    def test_rate_is_limited_if_start_and_end_of_evacuation_coincide(self):
+        """Guards against missing an evacuation that ends before it is read."""
         self.cluster.add_desk("b")
         self.cluster.pass_time(2)
         self.cluster.kv.faults.deaf_watches = True
@@ -107,10 +108,10 @@
         self.cluster.pass_time(1.5)
         self.arrivals.clear()
         self.load(COLD_S - 2.0)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
 
-    def test_one_that_refused_connections_gets_little_when_it_is_back(self):
-        """It crashed and started again; no entry has told of it yet."""
+    def test_rate_is_limited_after_refused_connections(self):
+        """The endpoint restarted; its registry entry does not show it yet."""
         listening = self.cluster.net.servers.pop(self.desk.address)
         self.desk.faults[:] = [Fault.RESET_BEFORE] * 20
         self.load(1)
@@ -121,10 +122,10 @@
         self.cluster.net.servers[self.desk.address] = listening
         self.arrivals.clear()
         self.load(COLD_S)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
 
-    def test_one_gets_little_from_gateways_that_all_start_again(self):
-        """Guards against first requests of a whole fleet at one moment."""
+    def test_rate_is_limited_when_all_gateways_restart(self):
+        """Guards against first requests of all gateways at one moment."""
         vms = [f"front-{number}" for number in range(1, 21)]
         self.cluster = GatewayCluster(
             desks=1, engines=0, operator=operator(), vms=vms
@@ -144,10 +145,10 @@
                 self.cluster.send("/read/x", caller=caller)
             self.cluster.pass_time(0.05)
         self.assertGreater(len(self.arrivals), PER_S / 2)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
 
-    def test_one_gets_little_from_a_gateway_that_has_not_heard_of_it(self):
-        """Guards against a cold start that does not travel between gateways."""
+    def test_rate_is_limited_at_a_gateway_cut_off_from_the_registry(self):
+        """Guards against a cold start that gateways do not share."""
         self.cluster.start_behind(_PATH, "front-3", 3)
         self.cluster.pass_time(2)
         self.cluster.net.cut(_PATH)
@@ -157,10 +158,10 @@
         self.arrivals.clear()
         self.load(COLD_S - 0.4)
         self.assertGreater(len(self.arrivals), 0)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
 
-    def test_it_is_not_taken_for_cold_for_longer_than_it_is(self):
-        """Guards against a time that grows while gateways tell each other."""
+    def test_cold_period_is_not_prolonged_by_sharing(self):
+        """Guards against a cold period that grows as gateways exchange it."""
         self.cluster.relist(self.desk, coldRemainingMs=int(COLD_S * 1000))
         self.load(COLD_S + 0.5)
         now = self.cluster.net.seconds()
@@ -168,7 +169,7 @@
             peer = gateway.directory.peers[self.desk.instance]
             self.assertFalse(peer.cold.is_cold(now))
 
-    def test_a_service_whose_endpoints_are_all_cold_says_when_to_return(self):
+    def test_service_with_only_cold_endpoints_sends_retry_after(self):
         self.cluster.remove("servers/i-desk2")
         self.cluster.relist(self.desk, coldRemainingMs=int(COLD_S * 1000))
         self.cluster.pass_time(0.3)
@@ -180,4 +181,4 @@
             after_s = float(caller.last.headers["retry-after"])
             self.assertGreater(after_s, 0)
             self.assertLess(after_s, len(VMS) / PER_S + 0.1)
-        self.assertLess(self.busiest_second(), MOST_PER_S)
+        self.assertLess(self.busiest_second(), MAX_PER_S)
--- a/tests/entry/test_failure_lines.py
+++ b/tests/entry/test_failure_lines.py
@@ -1,4 +1,4 @@
-"""What the lines of a failed attempt tell."""
+"""Tests of the log lines of failed attempts."""
 
 import msgspec
 from loguru import logger
@@ -11,14 +11,14 @@
 
 
 class DigestLineTest(TestCase):
-    """Two requests that are the same can be found in the logs."""
+    """Equal requests can be found in the log by their digest."""
 
-    def test_a_request_that_comes_again_is_known_by_its_digest(self):
-        """A caller sends the same request twice, and both answers break off.
+    def test_repeated_request_logs_the_same_digest(self):
+        """Guards against log lines that identify a request by its id only.
 
-        Symptom: engines end one after the other, and no line shows whether
-        they ran the same request. Cause: lines name a request by its id only,
-        which is new each time.
+        The id is new each time a caller repeats a request. When engines crash
+        one after the other, the lines must show whether they ran the same
+        request.
         """
         lines = []
         events._bounds = LogBounds()
--- a/tests/entry/test_gateway_attempts.py
+++ b/tests/entry/test_gateway_attempts.py
@@ -1,15 +1,15 @@
-"""What a caller is told when an attempt goes wrong."""
+"""Tests of a caller's response when an attempt fails."""
 
 from testtools import TestCase
 
 from magnolialug.standin.endpoint import Fault
 from tests.gatewaycluster import GatewayCluster
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def one_desk(*faults):
-    """Returns a cluster with one plain endpoint that fails as told."""
+    """Returns a cluster with one plain endpoint with the given faults."""
     cluster = GatewayCluster(desks=1, engines=0)
     (desk,) = cluster.desks.values()
     desk.faults = list(faults)
@@ -17,7 +17,7 @@
 
 
 class FaultTableTest(TestCase):
-    """Every fault of a plain endpoint, for both kinds of call."""
+    """Every fault of a plain endpoint, for both types of route."""
 
     CASES = (
         # fault, status of an idempotent call, of a non-idempotent one
@@ -36,12 +36,12 @@
         (Fault.LENGTH_AND_CHUNKS, 200, 502),
     )
 
-    def test_one_fault_then_none(self):
-        """One answer goes wrong; another endpoint is well.
+    def test_response_after_a_single_fault(self):
+        """Guards against a misclassified end of an attempt.
 
-        Symptom: a booking runs twice, or a caller gets half an answer, or
-        hears "not run" of what has run. Cause: an ending was taken for
-        another one.
+        One endpoint has a fault, the other none. If the end of the attempt is
+        misclassified, a booking runs twice, a caller gets half an answer, or a
+        request that ran is reported as "not run".
         """
         for fault, safe, unsafe in self.CASES:
             for path, status in (("/read/x", safe), ("/book/x", unsafe)):
@@ -50,34 +50,33 @@
                 first.faults = [fault]
                 cluster.desks["i-desk2"].faults = []
                 caller = cluster.ask(path)
-                told = (fault, path)
-                self.assertEqual(status, caller.last.status, told)
-                self.assertTrue(caller.last.whole, told)
-                self.assertFalse(caller.broken, told)
+                case = (fault, path)
+                self.assertEqual(status, caller.last.status, case)
+                self.assertTrue(caller.last.whole, case)
+                self.assertFalse(caller.broken, case)
                 if status == 200:
-                    self.assertEqual(b"served", caller.last.body, told)
+                    self.assertEqual(b"served", caller.last.body, case)
                     self.assertIn("x-response-stamp", caller.last.headers)
                 if path == "/book/x":
                     self.assertLessEqual(
-                        cluster.ran(caller.request_id), 1, told
+                        cluster.ran(caller.request_id), 1, case
                     )
 
-    def test_a_promise_is_only_made_of_what_never_ran(self):
+    def test_not_run_statuses_are_only_sent_if_nothing_ran(self):
         for fault, _, _ in self.CASES:
             for path in ("/read/x", "/book/x"):
                 cluster, _ = one_desk(*[fault] * 10)
                 caller = cluster.ask(path, seconds=4)
-                if caller.last.status in PROMISES:
+                if caller.last.status in NOT_RUN_STATUSES:
                     ran = cluster.ran(caller.request_id)
                     self.assertEqual(0, ran, (fault, path))
                 self.assertEqual(1, len(caller.answers), (fault, path))
 
-    def test_connections_after_a_surprise_are_not_used_again(self):
-        """A connection carries bytes that belong to no request.
+    def test_connections_with_unexpected_data_are_not_reused(self):
+        """Guards against a caller that gets the answer to another's request.
 
-        Symptom: a caller gets the answer to another's request. Sequence: an
-        endpoint sends a second answer; the next request goes out on the same
-        connection. Cause: the extra bytes were read as its answer.
+        An endpoint sends a second answer, and the next request goes out on the
+        same connection. The extra bytes were read as the answer to it.
         """
         for fault in (
             Fault.EXTRA,
@@ -94,12 +93,11 @@
             self.assertEqual(second.request_id.encode(), second.last.body)
             self.assertGreater(desk.connections, before, fault)
 
-    def test_a_late_extra_answer_is_passed_over(self):
-        """The second answer comes in front of the next one.
+    def test_late_extra_answer_is_skipped(self):
+        """Guards against a caller that gets the answer to an earlier request.
 
-        Symptom: a caller gets the answer to the request before its own.
-        Sequence: the extra answer arrives with the next answer. Cause: the
-        first answer after a request was taken to be its own.
+        An extra answer arrives together with the next answer. The first answer
+        after a request was taken for the answer to it.
         """
         cluster, desk = one_desk(Fault.EXTRA_LATE)
         desk.body_of = lambda req: req.request_id.encode()
@@ -109,19 +107,19 @@
         self.assertEqual(second.request_id.encode(), second.last.body)
         self.assertEqual(1, cluster.ran(second.request_id))
 
-    def test_a_failure_that_none_can_better_is_passed_on_whole(self):
+    def test_failure_is_forwarded_if_no_endpoint_succeeds(self):
         cluster, _ = one_desk(Fault.ERROR, Fault.ERROR)
         caller = cluster.ask("/read/x")
         self.assertEqual(500, caller.last.status)
         self.assertEqual(b"failed", caller.last.body)
 
-    def test_no_endpoint_at_all_is_said_at_once(self):
+    def test_request_without_endpoints_is_refused_at_once(self):
         cluster = GatewayCluster(desks=0, engines=0)
         caller = cluster.ask("/read/x", seconds=0.1)
         self.assertEqual(503, caller.last.status)
         self.assertIn("retry-after", caller.last.headers)
 
-    def test_an_endpoint_that_refuses_connections_costs_no_arrival(self):
+    def test_refused_connections_fail_no_request(self):
         cluster = GatewayCluster(desks=2, engines=0)
         del cluster.net.servers[cluster.desks["i-desk1"].address]
         for _ in range(20):
@@ -129,12 +127,12 @@
             self.assertEqual(200, caller.last.status)
             self.assertEqual(1, cluster.ran(caller.request_id))
 
-    def test_an_address_used_again_runs_nothing_by_mistake(self):
-        """Another service's endpoint has the address now.
+    def test_reused_address_runs_no_request_of_another_service(self):
+        """Guards against a booking that runs at another service.
 
-        Symptom: a booking runs at a service that it was never sent to.
-        Sequence: an endpoint dies, its address goes to another service, the
-        registry still lists it. Cause: an address was taken for an endpoint.
+        An endpoint dies and its address goes to another service while the
+        registry still lists the old one. The address alone was taken to
+        identify the endpoint.
         """
         cluster = GatewayCluster(desks=2, engines=1)
         (engine,) = cluster.engines.values()
@@ -147,12 +145,11 @@
         misdirected = [r for r in engine.seen if r.target == "/book/x"]
         self.assertEqual(1, len(misdirected))
 
-    def test_the_retry_budget_bounds_an_outage(self):
-        """Every answer fails for a while.
+    def test_retry_budget_bounds_retries_during_an_outage(self):
+        """Guards against retries that double the load during an outage.
 
-        Symptom: an outage doubles the load on the endpoints that are left.
-        Cause: each request is tried again for itself. The bound is a fifth
-        of the requests and a fixed number, over all entries.
+        Without a shared budget, each failed request is retried on its own. The
+        bound is a fifth of the requests plus a fixed number, over all entries.
         """
         cluster, desk = one_desk(*[Fault.ERROR] * 1000)
         for _ in range(300):
@@ -163,27 +160,27 @@
 
 
 class StreamTest(TestCase):
-    """Streams that break off, hang, or are resumed."""
+    """Streams that are cut, hang, or are resumed."""
 
-    def words(self, caller):
-        """Returns the ids of the events that a caller has."""
+    def event_ids(self, caller):
+        """Returns the ids of the events that a caller received."""
         lines = caller.last.body.split(b"\n")
         return [int(row[4:]) for row in lines if row.startswith(b"id: ")]
 
-    def test_events_come_as_they_are_made(self):
+    def test_events_are_forwarded_as_they_arrive(self):
         cluster = GatewayCluster(engines=1)
         (engine,) = cluster.engines.values()
         engine.gap_s = 0.2
         caller = cluster.ask("/draft/x", seconds=0.3)
-        self.assertEqual([1, 2], self.words(caller))
+        self.assertEqual([1, 2], self.event_ids(caller))
         self.assertFalse(caller.last.whole)
 
-    def test_a_resumable_stream_goes_on_elsewhere(self):
-        """An engine dies in the middle of an event.
+    def test_resumable_stream_continues_at_another_engine(self):
+        """Guards against merged, missing or doubled events.
 
-        Symptom: events run together, are missing, or come twice. Sequence:
-        half an event arrives, the connection is reset, another engine goes
-        on after the last whole one. Cause: the torn half was passed on.
+        Half an event arrives and the connection is reset; another engine
+        continues after the last complete event. The partial event was
+        forwarded.
         """
         for torn in (False, True):
             for after in range(5):
@@ -194,7 +191,7 @@
                 first = self._first_engine(cluster)
                 first.stop_after = [after]
                 caller = cluster.ask("/check/x", seconds=2)
-                self.assertEqual([1, 2, 3, 4], self.words(caller))
+                self.assertEqual([1, 2, 3, 4], self.event_ids(caller))
                 self.assertTrue(caller.last.whole)
                 self.assertEqual(2, cluster.ran(caller.request_id))
                 stamp = f"stamp.{first.instance}"
@@ -205,13 +202,13 @@
                     caller.last.headers["x-response-stamp"],
                 )
 
-    def test_a_resumable_stream_leaves_an_engine_that_has_gone_silent(self):
-        """An engine loses power in mid-stream; nothing closes.
+    def test_resumable_stream_leaves_a_silent_engine(self):
+        """Guards against a stream that stays at an engine that lost power.
 
-        Symptom: the caller has two events, and leaves with them at its
-        deadline though other engines are idle. Sequence: the engine is
-        suspected after 0.8 s without a byte, gets no new work, and keeps what
-        it has. Cause: only streams without any event went elsewhere.
+        The engine stops in mid-stream without closing the connection. It was
+        suspected after 0.8 s without a byte and got no new work, but only
+        streams without any event were moved. The caller had two events at its
+        deadline although other engines were idle.
         """
         cluster = GatewayCluster(engines=2)
         first = self._first_engine(cluster)
@@ -223,21 +220,21 @@
             conn.transport.silent = True
         first.gap_s = 60
         cluster.pass_time(1.6)
-        self.assertEqual([1, 2, 3, 4], self.words(caller))
+        self.assertEqual([1, 2, 3, 4], self.event_ids(caller))
         self.assertTrue(caller.last.whole)
         self.assertEqual(2, cluster.ran(caller.request_id))
 
-    def test_one_that_may_not_be_repeated_stays(self):
-        """An engine pauses for longer than it takes to be suspected.
+    def test_non_resumable_stream_stays_at_a_slow_engine(self):
+        """Guards against giving up a stream of an engine that only pauses.
 
-        Symptom: an answer that would have come is broken off, or run twice.
-        Cause: what is suspected was taken for dead.
+        An engine that pauses long enough to be suspected was taken for dead,
+        so an answer that would have arrived was cut or run twice.
         """
         cluster = GatewayCluster(engines=2)
         for engine in cluster.engines.values():
             engine.gap_s = 1.2
         caller = cluster.ask("/draft/x", seconds=6, deadline_ms=9000)
-        self.assertEqual([1, 2, 3, 4], self.words(caller))
+        self.assertEqual([1, 2, 3, 4], self.event_ids(caller))
         self.assertEqual(1, cluster.ran(caller.request_id))
 
     def _first_engine(self, cluster):
@@ -250,25 +247,25 @@
         ]
         return first
 
-    def test_a_stream_that_may_not_be_resumed_looks_cut(self):
+    def test_cut_non_resumable_stream_is_visibly_incomplete(self):
         cluster = GatewayCluster(engines=1)
         (engine,) = cluster.engines.values()
         engine.stop_after = [2]
         caller = cluster.ask("/draft/x", seconds=1)
-        self.assertEqual([1, 2], self.words(caller))
+        self.assertEqual([1, 2], self.event_ids(caller))
         self.assertFalse(caller.last.whole)
         self.assertTrue(caller.closed)
         self.assertEqual(1, cluster.ran(caller.request_id))
 
-    def test_a_caller_resumes_its_own_stream(self):
+    def test_caller_resumes_with_last_event_id(self):
         cluster = GatewayCluster(engines=1)
         caller = cluster.ask("/check/x", headers=("Last-Event-Id: 2",))
-        self.assertEqual([3, 4], self.words(caller))
+        self.assertEqual([3, 4], self.event_ids(caller))
         (seen,) = cluster.seen()
         self.assertEqual("2", seen.headers["last-event-id"])
         self.assertEqual(1, seen.names.count("Last-Event-Id"))
 
-    def test_an_engine_that_sheds_is_left_alone_for_a_moment(self):
+    def test_engine_that_refuses_work_is_paused(self):
         cluster = GatewayCluster(engines=2)
         first = self._first_engine(cluster)
         first.busy = True
@@ -280,12 +277,12 @@
         self.assertEqual(before, len(first.seen))
         self.assertEqual(200, caller.last.status)
 
-    def test_other_weights_than_asked_for_are_learned(self):
-        """An entry is cut off from the registry while weights change.
+    def test_mismatched_weights_are_recorded(self):
+        """Guards against requiring replaced weights again and again.
 
-        Symptom: every request of one entry is refused for seconds. Sequence:
-        an engine takes new weights, the entry goes on asking for the old
-        ones, and each is turned away with 421. Cause: the belief was kept.
+        An entry is cut off from the registry while an engine loads new
+        weights. It kept requiring the old version, and each of its requests
+        was refused with 421 for seconds.
         """
         cluster = GatewayCluster(engines=1)
         (engine,) = cluster.engines.values()
@@ -297,20 +294,20 @@
         asked = [seen.headers.get("x-expect-version") for seen in engine.seen]
         self.assertEqual(["1", None, "2"], asked[:3])
 
-    def test_cache_is_never_shared_under_a_version_that_is_not_known(self):
+    def test_unknown_versions_share_no_cache(self):
         cluster = GatewayCluster(engines=1)
         (engine,) = cluster.engines.values()
         engine.version = 2
         for _ in range(3):
             cluster.ask("/draft/x", seconds=0.01)
         cluster.pass_time(1)
-        unsure = [
+        without_version = [
             seen.headers["x-cache-salt"]
             for seen in engine.seen
             if "x-expect-version" not in seen.headers
         ]
-        self.assertEqual(len(unsure), len(set(unsure)))
-        self.assertTrue(unsure)
+        self.assertEqual(len(without_version), len(set(without_version)))
+        self.assertTrue(without_version)
 
     def test_isolated_teams_share_no_cache(self):
         cluster = GatewayCluster(engines=1)
@@ -319,7 +316,7 @@
         salts = {seen.headers["x-cache-salt"] for seen in cluster.seen()}
         self.assertEqual({"/m/1", "team-b/m/1"}, salts)
 
-    def test_a_teams_priority_goes_before_its_routes(self):
+    def test_team_priority_precedes_route_priority(self):
         cluster = GatewayCluster(engines=1)
         for path in ("/draft/x", "/check/x"):
             for key in ("key-a", "key-b"):
@@ -332,21 +329,20 @@
 
 
 class LoadingTest(TestCase):
-    """What one entry learns of an engine's weights the others know."""
+    """What one entry learns of an engine's weights reaches the others."""
 
     def started(self):
-        """Returns two gateways before one engine, and its version 1."""
+        """Returns a cluster of two gateways and one engine, and the engine."""
         cluster = GatewayCluster(desks=0, engines=1, vms=("front-1", "front-2"))
         cluster.pass_time(2)
         return cluster, next(iter(cluster.engines.values()))
 
-    def test_one_is_turned_away_and_nobody_else(self):
-        """An engine has taken new weights that no entry knows it to have.
+    def test_one_refusal_updates_all_entries(self):
+        """Guards against one refusal per entry and engine after a rollout.
 
-        Symptom: every entry has one request turned away by every engine.
-        Sequence: the holder of the orders is cut off after its order; each
-        entry goes on asking for the old version. Cause: a refusal taught only
-        the entry that met it.
+        The leader is cut off after its rollout command, so no entry knows that
+        the engine has new weights, and each requires the old version. A refusal
+        informed only the entry that received it.
         """
         cluster, engine = self.started()
         name = {"model": "m", "version": 2}
@@ -362,12 +358,12 @@
         self.assertLess(float(first.last.headers["retry-after"]), 0.1)
         self.assertEqual(200, second.last.status)
 
-    def test_all_are_told_at_once_which_engines_load(self):
-        """Much changes in the store while weights are rolled out.
+    def test_loading_engines_are_announced_to_all_entries_at_once(self):
+        """Guards against prompts sent to engines that load weights.
 
-        Symptom: a hundred prompts a second are turned away by engines that
-        load. Cause: entries fetch changes up to a second late, and engines
-        are closed to new work for an eighth of one before they load.
+        Entries fetch changes from the key-value service up to a second late,
+        but engines get no new work for only 0.125 s before they load. A hundred
+        prompts a second were refused by loading engines.
         """
         cluster, engine = self.started()
         second = cluster.gateways[1]
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -22,7 +22,7 @@
 from magnolialug.config.folder import read_folder
 from magnolialug.entry.app import EntryApp
 from magnolialug.entry.call import PromptCall
-from magnolialug.entry.serving import Served
+from magnolialug.entry.retryloop import Served
 from magnolialug.policy.blocks import prompt_root
 from magnolialug.policy.stored import Tier
 from magnolialug.result import Failure
@@ -166,11 +166,11 @@
         self.pieces: list[tuple[int, str]] = []
         self.gate: Deferred | None = None
 
-    def opened(self, request_id) -> None:
+    def set_request_id(self, request_id) -> None:
         self.request_id = request_id
         self.ids.append(request_id)
 
-    async def piece(self, seq: int, text: str) -> None:
+    async def write_piece(self, seq: int, text: str) -> None:
         self.pieces.append((seq, text))
         if self.gate is not None:
             await self.gate
--- a/tests/owners/fleet.py
+++ b/tests/owners/fleet.py
@@ -26,7 +26,7 @@
         self.work = {}
         self.heard_ms = self.oldest_ms = 0
         self.rollout = None
-        self.rollout_at = float("-inf")
+        self.rollout_received_at = float("-inf")
         self.takers = {}
         self.alive = True
         self.bytes = 0
@@ -57,11 +57,11 @@
             self.fleet.born_ms,
         )
 
-    def rolls_out(self, rollout):
+    def update_rollout(self, rollout):
         """Takes a rollout."""
         if self.rollout is None or rollout.number > self.rollout.number:
             self.rollout = rollout
-            self.rollout_at = self.fleet.clock.seconds()
+            self.rollout_received_at = self.fleet.clock.seconds()
 
     def hear(self, evacuated):
         """Takes evacuated zones."""
--- a/tests/owners/test_dissemination.py
+++ b/tests/owners/test_dissemination.py
@@ -21,7 +21,7 @@
         self.fleet = fleet_of()
         self.knowing, self.cut_off = list(self.fleet.entries.values())[:2]
         self.knowing.hear(ZONES)
-        self.knowing.rolls_out(ROLLOUT)
+        self.knowing.update_rollout(ROLLOUT)
         self.news = self.of(self.knowing)
 
     def of(self, entry):
--- a/tests/owners/test_owners.py
+++ b/tests/owners/test_owners.py
@@ -140,7 +140,7 @@
         owner = fleet.owner("i-0")
         cut_off = next(e for e in fleet.entries.values() if e is not owner)
         rollout = Rollout("m", 2, closed=("i-0",), number=3)
-        owner.rolls_out(rollout)
+        owner.update_rollout(rollout)
         fleet.ask(cut_off, ["i-0"])
         self.assertEqual(rollout, cut_off.rollout)
 
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from magnolialug.entry.serving import Served
+from magnolialug.entry.retryloop import Served
 from magnolialug.result import Code, Executed, Failure
 from tests.harness import Cluster, Fate, remember_dispatches
 
--- a/tests/promises/test_cache.py
+++ b/tests/promises/test_cache.py
@@ -5,7 +5,7 @@
 
 from magnolialug.config.current import make_doc
 from magnolialug.config.deployment import from_text, to_text
-from magnolialug.entry.serving import Served
+from magnolialug.entry.retryloop import Served
 from magnolialug.policy.blocks import (
     BLOCK_TOKENS,
     BYTES_PER_TOKEN,
--- a/tests/promises/test_config_in_force.py
+++ b/tests/promises/test_config_in_force.py
@@ -13,7 +13,7 @@
 from magnolialug.confload import from_kv, load_highest
 from magnolialug.confstore import HEAD_KEY, apply_text, read_doc, read_head
 from magnolialug.entry.confwatch import ConfigWatch
-from magnolialug.entry.serving import Served
+from magnolialug.entry.retryloop import Served
 from magnolialug.result import Code, Executed, Failure
 from magnolialug.standin.kv import KvStore
 from magnolialug.wire.asking import ask_config
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from magnolialug.entry.serving import Served
+from magnolialug.entry.retryloop import Served
 from magnolialug.result import Code, Executed
 from magnolialug.sidecar.answer import WINDOW
 from magnolialug.standin.engine import answer_piece
--- a/tests/promises/test_model.py
+++ b/tests/promises/test_model.py
@@ -13,7 +13,7 @@
     rule,
 )
 
-from magnolialug.entry.serving import Served
+from magnolialug.entry.retryloop import Served
 from magnolialug.result import Executed
 from magnolialug.standin.engine import answer_piece
 from tests.harness import Cluster, Fate
--- a/tests/soak/sabotaged.py
+++ b/tests/soak/sabotaged.py
@@ -3,7 +3,7 @@
 import sys
 
 from magnolialug.cmd import gateway
-from magnolialug.entry import serving
+from magnolialug.entry import retryloop
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.gatewaysink import GatewaySink
 from magnolialug.entry.registry import Registry
@@ -14,12 +14,12 @@
 
 def repeat():
     """Sends a request that may run once to a second endpoint."""
-    may_retry = serving.may_retry
+    may_retry = retryloop.may_retry
 
     def careless(ending, idempotent, *rest):
         return may_retry(ending, True, *rest)
 
-    serving.may_retry = careless
+    retryloop.may_retry = careless
 
 
 def go_back():
@@ -39,7 +39,7 @@
 
 def look_whole():
     """Ends an answer that was cut as if it were whole."""
-    GatewaySink.cut = GatewaySink.whole
+    GatewaySink.abort = GatewaySink.complete
 
 
 def forget():
