--- a/magnolialug/cmd/gatewayprogram.py
+++ b/magnolialug/cmd/gatewayprogram.py
@@ -95,7 +95,7 @@
         gateway.start()
         host, port = settings.host, settings.internal_port
         ports = [
-            reactor.listenUDP(port, gateway.talk, interface=host),
+            reactor.listenUDP(port, gateway.messenger, interface=host),
             _listen(reactor, settings.callers, gateway.factory),
             _listen(reactor, settings.ready, ready_factory(gateway.ready)),
         ]
--- a/magnolialug/entry/__init__.py
+++ b/magnolialug/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process between the platform's balancer and the sidecars."""
+"""The entry and the gateway: processes between load balancer and endpoints."""
--- a/magnolialug/entry/app.py
+++ b/magnolialug/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry's application object: admit, place, run, retry, answer."""
+"""The entry's application object: admits calls and runs them to an answer."""
 
 import secrets
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from magnolialug.config.current import Current
 from magnolialug.config.deployment import Deployment, Kind
 from magnolialug.entry.call import PromptCall, Sink
-from magnolialug.entry.claims import Claims
+from magnolialug.entry.claims import ClaimStore
 from magnolialug.entry.exchange import Exchange
 from magnolialug.entry.fleet import Fleet
 from magnolialug.entry.linkcarrier import LinkCarrier
@@ -37,18 +37,18 @@
 
 __all__ = ["EntryApp"]
 
-_DRAIN_STEP_S = 0.05
+_DRAIN_POLL_INTERVAL_S = 0.05
 
 
 class EntryApp:
-    """Serves calls; holds only state that may be lost.
+    """Serves calls; all of its state may be lost at any time.
 
     Life-cycle: `start`, then `serve` for every call, then `stop`.
 
     Args:
-      connect: opens a link to an endpoint's sidecar.
-      random: for jitter.
-      new_hex: makes the unguessable part of request ids.
+      connect: opens a connection to an endpoint's sidecar.
+      random: source of jitter.
+      new_hex: returns the unguessable part of a request id.
     """
 
     def __init__(
@@ -72,8 +72,8 @@
         )
         self.draining = False
         self.in_progress = 0
-        self._claims = Claims(kv, clock, random)
-        self._means = Means(
+        self._claims = ClaimStore(kv, clock, random)
+        self._context = Means(
             budget=Budget(),
             retried=lambda service: self.metrics.retries.add(1),
             clock=clock,
@@ -82,45 +82,45 @@
         )
 
     def start(self) -> None:
-        """Connects to the endpoints of the configuration, now and later."""
+        """Connects to the configured endpoints, and follows later changes."""
         self.current.on_change(self._apply)
         if self.current.deployment:
             self._apply(self.current.deployment)
         emit(Event.STARTED, entry=self.entry)
 
     async def stop(self) -> int:
-        """Takes no new calls, finishes those in progress, then disconnects.
+        """Refuses new calls, finishes those in progress, then disconnects.
 
         Returns:
-          how many calls were left when the drain limit passed.
+          the number of calls still in progress when the drain limit passed.
         """
         self.drain()
         deployment = self.current.deployment
         limit = self.clock.seconds()
         limit += deployment.limits.drain_s if deployment else 0
         while self.in_progress and self.clock.seconds() < limit:
-            await sleep(self.clock, _DRAIN_STEP_S)
+            await sleep(self.clock, _DRAIN_POLL_INTERVAL_S)
         self.fleet.stop()
         event = Event.STOP_FORCED if self.in_progress else Event.STOPPED
         emit(event, entry=self.entry, left=self.in_progress)
         return self.in_progress
 
     def drain(self) -> None:
-        """Is not ready from now on."""
+        """Starts draining: `ready` is false and new calls are refused."""
         if not self.draining:
             self.draining = True
             emit(Event.DRAINING, entry=self.entry)
 
     def ready(self) -> bool:
-        """Whether the balancer may send calls."""
+        """Returns whether the load balancer may send calls."""
         return not self.draining and self.fleet.ready()
 
     async def serve(self, call: PromptCall, sink: Sink) -> Served | Failure:
-        """Serves one call; the answer's pieces go to the sink.
+        """Serves one call and writes the pieces of its answer to the sink.
 
         Returns:
-          the end of a whole answer, or a numbered failure that says whether
-          the request ran.
+          the end of a complete answer, or a numbered failure that states
+          whether the request was executed.
         """
         if self.draining:
             return failed(Code.DRAINING, retry_after_s=1.0)
@@ -131,13 +131,13 @@
             self.clock.seconds(),
         )
         if refusal:
-            self._count(call, refusal)
+            self._record_result(call, refusal)
             return refusal
         self.in_progress += 1
-        self._means.budget.deposit(call.service)
+        self._context.budget.deposit(call.service)
         try:
             result = await Serving(
-                self._means,
+                self._context,
                 call,
                 self._carrier(call, sink),
                 RequestLog(call.name),
@@ -145,15 +145,16 @@
         finally:
             self.in_progress -= 1
             self.admission.release(call.team)
-        self._count(call, result)
+        self._record_result(call, result)
         return result
 
-    async def reread(
+    async def replay(
         self, team: TeamId, request_id: RequestId, after_seq: int, sink: Sink
     ) -> Served | Failure:
-        """Streams a kept answer to its own team.
+        """Streams a retained answer to the team that made the request.
 
-        An id of another team and one that never was get the same failure.
+        A request id of another team and an id that never existed give the
+        same failure.
         """
         unknown = failed(Code.UNKNOWN_REQUEST, value=request_id)
         upstream = self.fleet.upstreams.get(endpoint_of(request_id))
@@ -161,31 +162,33 @@
             return unknown
         kind = Kind(1.0, True, 1, False, 1)
         now = self.clock.seconds()
-        nothing = Attempt(team, request_id, 0, upstream.incarnation, 0.0)
+        attempt = Attempt(team, request_id, 0, upstream.incarnation, 0.0)
         call = _empty_call(team, kind, now)
         progress = Progress(seq=after_seq)
-        exchange = Exchange(call, nothing, upstream, progress, sink, self.clock)
+        exchange = Exchange(call, attempt, upstream, progress, sink, self.clock)
         self.in_progress += 1
         try:
             end = await exchange.reread(msg.Find(team, request_id, after_seq))
         finally:
             self.in_progress -= 1
         if isinstance(end, Ended):
-            gone = end.failure.code is Code.ANSWER_GONE
-            return end.failure if gone else unknown
+            expired = end.failure.code is Code.ANSWER_GONE
+            return end.failure if expired else unknown
         return Served(end, progress.seq, 0.0)
 
     def _carrier(self, call: PromptCall, sink: Sink) -> LinkCarrier:
         return LinkCarrier(
-            self._means, self.current, self.fleet, self._claims, call, sink
+            self._context, self.current, self.fleet, self._claims, call, sink
         )
 
     def _apply(self, deployment: Deployment) -> None:
-        self._means.budget.ratio = deployment.limits.retry_ratio
-        self._claims.keep_s = deployment.limits.claim_keep_s
+        self._context.budget.ratio = deployment.limits.retry_ratio
+        self._claims.retention_s = deployment.limits.claim_keep_s
         self.fleet.apply(deployment)
 
-    def _count(self, call: PromptCall, result: Served | Failure) -> None:
+    def _record_result(
+        self, call: PromptCall, result: Served | Failure
+    ) -> None:
         attributes = {"service": call.service, "kind": call.kind_name}
         self.metrics.requests.add(1, attributes)
         if isinstance(result, Failure):
--- a/magnolialug/entry/bodies.py
+++ b/magnolialug/entry/bodies.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies; every error names the field and the value."""
+"""Parses request bodies; each error names the field and its value."""
 
 import re
 from typing import Any
@@ -14,12 +14,12 @@
     "read_chat",
     "read_completion",
     "read_json",
-    "sampling",
+    "sampling_options",
 ]
 
-_PATH = re.compile(r" - at `\$\.?(.*)`$")
-_MISSING = re.compile(r"required field `(\w+)`")
-_SAMPLING = (
+_FIELD_PATH = re.compile(r" - at `\$\.?(.*)`$")
+_MISSING_FIELD = re.compile(r"required field `(\w+)`")
+_SAMPLING_OPTIONS = (
     "temperature",
     "top_p",
     "stop",
@@ -32,7 +32,7 @@
 
 
 class StreamOptions(msgspec.Struct):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
@@ -71,7 +71,11 @@
 
     @property
     def prompt(self) -> str:
-        """The messages as one prompt; a longer chat extends it."""
+        """The messages as one prompt.
+
+        Further messages are appended, so a longer chat has the prompt of
+        the shorter one as its prefix.
+        """
         return "".join(
             f"<{message.role}>\n{_text(message.content)}\n"
             for message in self.messages
@@ -85,26 +89,29 @@
 
 
 def read_completion(data: bytes) -> CompletionBody | Failure:
-    """Returns a checked completion body, or what is wrong with it."""
-    return _checked(data, CompletionBody)
+    """Returns the validated completion body, or the validation failure."""
+    return _parse_body(data, CompletionBody)
 
 
 def read_chat(data: bytes) -> ChatBody | Failure:
-    """Returns a checked chat body, or what is wrong with it."""
-    return _checked(data, ChatBody)
+    """Returns the validated chat body, or the validation failure."""
+    return _parse_body(data, ChatBody)
 
 
 def read_json(data: bytes) -> str | Failure:
-    """Returns a plain service's body, which must be a JSON object."""
+    """Returns the body of a plain service's request.
+
+    The body must be a JSON object.
+    """
     value = _object(data)
     return value if isinstance(value, Failure) else data.decode()
 
 
-def sampling(data: bytes) -> str:
-    """Returns the sampling options of a body as JSON."""
+def sampling_options(data: bytes) -> str:
+    """Returns the sampling options that a body sets, as a JSON object."""
     value = msgspec.json.decode(data)
-    kept = {name: value[name] for name in _SAMPLING if name in value}
-    return msgspec.json.encode(kept).decode()
+    options = {name: value[name] for name in _SAMPLING_OPTIONS if name in value}
+    return msgspec.json.encode(options).decode()
 
 
 def _object(data: bytes) -> dict | Failure:
@@ -117,18 +124,18 @@
     return value
 
 
-def _checked(data: bytes, form: type) -> Any | Failure:
+def _parse_body(data: bytes, body_type: type) -> Any | Failure:
     value = _object(data)
     if isinstance(value, Failure):
         return value
     try:
-        body = msgspec.convert(value, form)
+        body = msgspec.convert(value, body_type)
     except msgspec.ValidationError as exc:
-        return _problem(str(exc), value)
-    return _limits(body) or body
+        return _validation_failure(str(exc), value)
+    return _check_limits(body) or body
 
 
-def _limits(body: _Common) -> Failure | None:
+def _check_limits(body: _Common) -> Failure | None:
     if body.n not in (None, 1):
         return failed(Code.UNKNOWN_FIELD_VALUE, "only 1 is served", "n", body.n)
     for name in ("max_tokens", "max_completion_tokens"):
@@ -140,11 +147,11 @@
     return None
 
 
-def _problem(text: str, value: dict) -> Failure:
-    missing = _MISSING.search(text)
+def _validation_failure(text: str, value: dict) -> Failure:
+    missing = _MISSING_FIELD.search(text)
     if missing:
         return failed(Code.MISSING_FIELD, text, missing.group(1))
-    found = _PATH.search(text)
+    found = _FIELD_PATH.search(text)
     field = found.group(1) if found else "(body)"
     return failed(
         Code.WRONG_TYPE, text, field, value.get(field.split(".")[0], "")
--- a/magnolialug/entry/claims.py
+++ b/magnolialug/entry/claims.py
@@ -1,4 +1,4 @@
-"""Makes, follows, moves and answers claims in the key-value service."""
+"""Reads and writes idempotency claims in the key-value service."""
 
 from random import Random
 
@@ -23,21 +23,22 @@
 from magnolialug.result import Code, Failure, failed
 from magnolialug.timing import sleep
 
-__all__ = ["Claims", "Held"]
+__all__ = ["ClaimResult", "ClaimStore"]
 
-_ANSWER_LIMIT = 64 * 1024
-_ANSWER_TRIES = 5
+_MAX_ANSWER_CHARS = 64 * 1024
+_REWRITE_ATTEMPTS = 5
 _WRITER_BITS = 96
-_DAY_S = 86_400.0
+_DEFAULT_RETENTION_S = 86_400.0
 _LEASE_PERIOD_S = 3600.0
 
 
-class Held(msgspec.Struct, frozen=True):
-    """What a look at a claim came to.
+class ClaimResult(msgspec.Struct, frozen=True):
+    """The result of reading or writing a claim.
 
     Attributes:
-      claim: the claim that is in force.
-      revision: its revision in the KV.
+      next: what the entry does next.
+      claim: the claim that is stored.
+      revision: its revision in the key-value service.
     """
 
     next: ClaimNext
@@ -45,14 +46,16 @@
     revision: int
 
 
-class Claims:
-    """One entry's claim calls, each with its doubts resolved by reading.
+class ClaimStore:
+    """Reads and writes claims for one entry.
 
-    Claims outlive their writers: their leases are granted for the whole
-    retention and never renewed, one lease for all claims of an hour.
+    A write whose outcome is unknown is resolved by reading the key back.
+    Claims must outlive the entry that wrote them. Their leases are therefore
+    granted for the whole retention time and never renewed; the claims of one
+    hour share a lease.
 
     Attributes:
-      keep_s: how long a claim stands, in seconds.
+      retention_s: how long a claim is kept, in seconds.
     """
 
     def __init__(
@@ -60,9 +63,9 @@
         kv: Kv,
         clock: IReactorTime,
         random: Random,
-        keep_s: float = _DAY_S,
+        retention_s: float = _DEFAULT_RETENTION_S,
     ):
-        self.keep_s = keep_s
+        self.retention_s = retention_s
         self._kv = kv
         self._clock = clock
         self._random = random
@@ -72,7 +75,7 @@
     def new_claim(
         self, call: PromptCall, endpoint: EndpointId, attempt: Attempt
     ) -> Claim:
-        """Returns a claim that no earlier write has made."""
+        """Returns a claim with a new random writer id."""
         return Claim(
             writer=f"{self._random.getrandbits(_WRITER_BITS):x}",
             digest=body_digest(call.kind_name, call.body),
@@ -80,40 +83,45 @@
             attempt=attempt,
         )
 
-    async def take(
-        self, call: PromptCall, mine: Claim, revision: int
-    ) -> Held | Failure:
-        """Writes a claim, or learns which one stands in its place.
+    async def acquire(
+        self, call: PromptCall, own_claim: Claim, revision: int
+    ) -> ClaimResult | Failure:
+        """Writes a claim, or returns the one that is stored instead.
 
-        The KV can apply a write and lose its answer. Taking that for a
-        refusal would leave a claim that nobody runs; taking it for success
-        could run twice. So an unanswered write is read back and the writer
-        compared, until the kind's wait is over.
+        The key-value service can apply a write and lose its reply. If that
+        counted as a refusal, the stored claim would never be run; if it
+        counted as success, the request could run twice. After a write
+        without a reply the key is therefore read back and the writer ids
+        are compared, until the call's deadline.
 
         Args:
-          mine: the claim to write.
-          revision: that the key must still be at, 0 for absent.
+          own_claim: the claim to write.
+          revision: the revision that the key must still have, 0 if absent.
+
+        Returns:
+          the claim that is stored, or KEY_REUSED if it belongs to another
+          body, or KV_UNAVAILABLE at the deadline.
         """
         key = claim_key(call.team, call.service, call.key)
         backoff = Backoff()
         while True:
-            held = await self._try(key, mine, revision)
-            if isinstance(held, Held):
-                return held
-            if held.code is Code.KEY_REUSED:
-                return held
+            result = await self._try_write(key, own_claim, revision)
+            if isinstance(result, ClaimResult):
+                return result
+            if result.code is Code.KEY_REUSED:
+                return result
             pause = backoff.next(self._random)
             if self._clock.seconds() + pause >= call.deadline:
                 return failed(Code.KV_UNAVAILABLE, retry_after_s=1.0)
-            emit(Event.CLAIM_UNCERTAIN, team=call.team, why=held.reason)
+            emit(Event.CLAIM_UNCERTAIN, team=call.team, why=result.reason)
             await sleep(self._clock, pause)
 
-    async def look(self, call: PromptCall) -> Held | Failure | None:
-        """Returns the claim that stands for a call's key, if it may have run.
+    async def lookup(self, call: PromptCall) -> ClaimResult | Failure | None:
+        """Returns the claim stored for a call's key if it may have run.
 
         Returns:
-          None if there is no claim, or one whose attempt is known not to
-          have run.
+          None if no claim is stored, or if its attempt is known not to have
+          run.
         """
         found = await self._kv.get(claim_key(call.team, call.service, call.key))
         if found is None or isinstance(found, Failure):
@@ -122,71 +130,77 @@
         if claim.digest != body_digest(call.kind_name, call.body):
             return failed(Code.KEY_REUSED, field="Idempotency-Key")
         if claim.answer is not None:
-            return Held(ClaimNext.ANSWERED, claim, found.revision)
+            return ClaimResult(ClaimNext.ANSWERED, claim, found.revision)
         if claim.unrun:
             return None
-        return Held(ClaimNext.FOLLOW, claim, found.revision)
+        return ClaimResult(ClaimNext.FOLLOW, claim, found.revision)
 
-    async def _try(
-        self, key: str, mine: Claim, revision: int
-    ) -> Held | Failure:
-        lease = await self._lease_now()
+    async def _try_write(
+        self, key: str, own_claim: Claim, revision: int
+    ) -> ClaimResult | Failure:
+        lease = await self._current_lease()
         if isinstance(lease, Failure):
             return lease
-        swap = await self._kv.put_if(key, write_claim(mine), revision, lease)
+        swap = await self._kv.put_if(
+            key, write_claim(own_claim), revision, lease
+        )
         if not isinstance(swap, Failure) and swap.won:
-            return Held(ClaimNext.RUN, mine, swap.revision)
+            return ClaimResult(ClaimNext.RUN, own_claim, swap.revision)
         found = swap if isinstance(swap, Failure) else swap.current
         if isinstance(found, Failure):
             found = await self._kv.get(key)
         if isinstance(found, Failure):
             return found
-        return self._held(mine, found, revision)
+        return self._resolve(own_claim, found, revision)
 
-    def _held(
-        self, mine: Claim, found: KvEntry | None, revision: int
-    ) -> Held | Failure:
+    def _resolve(
+        self, own_claim: Claim, found: KvEntry | None, revision: int
+    ) -> ClaimResult | Failure:
         claim = read_claim(found.value) if found else None
-        step = after_write(mine, claim)
+        step = after_write(own_claim, claim)
         if isinstance(step, Failure):
             return step
         unwritten = found is not None and found.revision == revision
         if step is ClaimNext.READ_BACK or unwritten:
             return failed(Code.KV_TIMEOUT, "the write has not been applied")
-        return Held(step, claim, found.revision)
+        return ClaimResult(step, claim, found.revision)
 
-    async def _lease_now(self) -> int | Failure:
+    async def _current_lease(self) -> int | Failure:
         now = self._clock.seconds()
         if now < self._lease_until:
             return self._lease
-        lease = await self._kv.grant(self.keep_s + _LEASE_PERIOD_S)
+        lease = await self._kv.grant(self.retention_s + _LEASE_PERIOD_S)
         if isinstance(lease, Failure):
             return lease
         self._lease = lease
         self._lease_until = now + _LEASE_PERIOD_S
         return lease
 
-    async def answered(self, call: PromptCall, held: Held, answer: str) -> None:
-        """Writes the answer beside the claim, as well as that can be done.
+    async def answered(
+        self, call: PromptCall, result: ClaimResult, answer: str
+    ) -> None:
+        """Stores the answer with its claim, on a best-effort basis.
 
-        It lets a duplicate have the answer after the sidecar has restarted;
-        without it the duplicate hears that the outcome is unknown.
+        With it a duplicate gets the answer even after the sidecar has
+        restarted; without it the duplicate gets an unknown outcome.
         """
-        if len(answer) > _ANSWER_LIMIT:
+        if len(answer) > _MAX_ANSWER_CHARS:
             return
-        await self._rewrite(call, held, answer=answer)
+        await self._rewrite(call, result, answer=answer)
 
-    async def unrun(self, call: PromptCall, held: Held) -> None:
-        """Notes that the claimed attempt did not run and never will."""
-        await self._rewrite(call, held, unrun=True)
+    async def unrun(self, call: PromptCall, result: ClaimResult) -> None:
+        """Stores that the claimed attempt did not run and never will."""
+        await self._rewrite(call, result, unrun=True)
 
-    async def _rewrite(self, call: PromptCall, held: Held, **changes) -> None:
+    async def _rewrite(
+        self, call: PromptCall, result: ClaimResult, **changes
+    ) -> None:
         key = claim_key(call.team, call.service, call.key)
-        claim = msgspec.structs.replace(held.claim, **changes)
+        claim = msgspec.structs.replace(result.claim, **changes)
         backoff = Backoff()
-        for _ in range(_ANSWER_TRIES):
+        for _ in range(_REWRITE_ATTEMPTS):
             swap = await self._kv.put_if(
-                key, write_claim(claim), held.revision, self._lease
+                key, write_claim(claim), result.revision, self._lease
             )
             if not isinstance(swap, Failure):
                 return
--- /dev/null
+++ b/magnolialug/entry/eventsplitter.py
@@ -0,0 +1,71 @@
+"""Splits a byte stream into complete server-sent events."""
+
+__all__ = ["EventSplitter"]
+
+_END = b"\n\n"
+_ID = b"id:"
+# An event has a few dozen bytes. A longer one is not from an event stream, and
+# buffering it without a limit would exhaust the process's memory.
+_MAX_EVENT_BYTES = 256 * 1024
+
+
+class EventSplitter:
+    """Returns complete events only, and each event id only once.
+
+    An endpoint can stop in the middle of an event. If its first half had been
+    sent to the caller, an attempt that resumes the stream at another endpoint
+    could not continue it, and the caller would read two events as one. Bytes
+    are therefore buffered until their event is complete, and an event that
+    the caller already has is dropped.
+
+    Attributes:
+      last_id: the id of the last event that the caller has.
+    """
+
+    def __init__(self, last_id: int = 0):
+        self.last_id = last_id
+        self._buffer = b""
+
+    def feed(self, data: bytes) -> bytes:
+        """Adds data and returns the new events that are now complete.
+
+        Raises:
+          ValueError: if an event exceeds the size limit, which means that
+            the data is not an event stream.
+        """
+        data = self._buffer + data
+        end = data.rfind(_END)
+        if end < 0:
+            self._buffer = data
+            if len(data) > _MAX_EVENT_BYTES:
+                raise ValueError("event exceeds the size limit")
+            return b""
+        self._buffer = data[end + len(_END) :]
+        whole = data[: end + len(_END)]
+        return b"".join(filter(self._is_new, _split(whole)))
+
+    @property
+    def has_partial_event(self) -> bool:
+        """Whether the buffer holds part of an event."""
+        return bool(self._buffer)
+
+    def _is_new(self, event: bytes) -> bool:
+        number = _id_of(event)
+        if number is None:
+            return True
+        if number <= self.last_id:
+            return False
+        self.last_id = number
+        return True
+
+
+def _split(events: bytes) -> list[bytes]:
+    return [event + _END for event in events.split(_END) if event]
+
+
+def _id_of(event: bytes) -> int | None:
+    for line in event.split(b"\n"):
+        if line.startswith(_ID):
+            value = line[len(_ID) :].strip()
+            return int(value) if value.isdigit() else None
+    return None
--- a/magnolialug/entry/gateway.py
+++ b/magnolialug/entry/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's application object: routes, teams, serving, draining."""
+"""The gateway's application object: wires its parts and serves requests."""
 
 import secrets
 from collections.abc import Callable
@@ -17,13 +17,13 @@
 from magnolialug.entry.entrybook import ENTRIES_PREFIX, EntryBook, EntryRow
 from magnolialug.entry.evacuations import Evacuations
 from magnolialug.entry.forwardcall import ForwardCall
-from magnolialug.entry.gatewaycall import CallMeans, GatewayCall
+from magnolialug.entry.gatewaycall import CallContext, GatewayCall
 from magnolialug.entry.gatewaychannel import GatewayFactory, GatewayRequest
 from magnolialug.entry.gatewayintake import read_call
 from magnolialug.entry.gatewaymetrics import GatewayMetrics
 from magnolialug.entry.gatewaysink import GatewaySink
 from magnolialug.entry.gauges import observe_endpoints, observe_states
-from magnolialug.entry.grace import NOTICED_S, Grace
+from magnolialug.entry.graceperiod import READINESS_NOTICE_S, GracePeriod
 from magnolialug.entry.httpattempt import HttpAttempt
 from magnolialug.entry.peertalk import PeerTalk
 from magnolialug.entry.placer import Listeners, Placer
@@ -54,46 +54,47 @@
 
 __all__ = ["Gateway"]
 
-# How often times are looked at: a deadline is met this much late at worst.
-_TICK_S = 0.05
-# What is over is looked for this often: idle connections whose time is over,
-# word that is no longer believed, stores whose owner is another entry now.
-_TIDY_S = 0.25
-# Of the retries that may be saved up, the part that is used. A restarted entry
-# begins with a full share, and entries disagree for a while on how many they
-# are; half leaves room for both.
-_SAVED_SHARE = 0.5
-# Of the retries that requests earn, the part that is used. Neither restarts nor
-# the number of entries change what all entries earn together.
-_EARNED_SHARE = 0.9
-# Watches return at once when something changes; this long when nothing does.
-# A path that has gone silent is noticed by the kernel's probes, not by this.
-_WATCH_S = 25.0
-# What changes within such pauses is fetched with one call. A leaving endpoint
-# must be known within two seconds, and so must a configuration.
-_PACE_S = (0.25, 1.0)
+# Deadlines and time-outs are checked this often, so they take effect at most
+# this late.
+_TICK_INTERVAL_S = 0.05
+# Expired state is dropped this often: idle connections past their time, cache
+# state that is too old to use, stores that now have another entry as owner.
+_CLEAN_UP_INTERVAL_S = 0.25
+# Share of the settings' limit on accumulated retries that entries use. A
+# restarted entry starts with a full budget, and entries can disagree for a
+# while on how many they are; half leaves room for both.
+_RETRY_LIMIT_SHARE = 0.5
+# Share of the settings' ratio of retries to requests that entries use. Neither
+# restarts nor the number of entries change what all entries earn together.
+_RETRY_RATIO_SHARE = 0.9
+# A watch returns at once when a key changes, and after this time when none
+# does. A dead network path is detected by the kernel's probes, not by this.
+_WATCH_TIMEOUT_S = 25.0
+# Shortest and longest pause between watch calls while many keys change, so that
+# one call returns several changes. A leaving endpoint and a new configuration
+# must both be known within two seconds.
+_WATCH_PAUSES_S = (0.25, 1.0)
 # All keys that gateways write.
 _OWN_PREFIX = "magnolialug/"
-# Keys whose changes do not wait behind a long configuration.
-_URGENT = (EVACUATION_PREFIX, REGISTRY_PREFIX, _OWN_PREFIX)
-_DRAIN_STEP_S = 0.05
-# First and longest pause before a request goes to another endpoint. That one
-# is another machine, so there is nothing to wait for but a retry storm, and
-# the budget bounds that.
-_BACKOFF_S = (0.004, 0.1)
+# Changes of these keys are also read while a long configuration arrives.
+_URGENT_PREFIXES = (EVACUATION_PREFIX, REGISTRY_PREFIX, _OWN_PREFIX)
+_DRAIN_POLL_INTERVAL_S = 0.05
+# First and longest pause before a retry. A retry goes to another machine, so a
+# pause only serves against retry storms, which the retry budget limits already.
+_RETRY_PAUSES_S = (0.004, 0.1)
 
 
 class Gateway:
-    """Passes callers' requests on to endpoints.
+    """Forwards callers' requests to endpoints.
 
-    Everything it holds may be lost at any time: routes and endpoints are
-    read from the key-value service, the rest is learned again.
+    All of its state may be lost at any time: routes and endpoints are read
+    from the key-value service, and the rest is observed again.
 
     Args:
-      reactor: for connections and time.
+      reactor: provides connections and time.
       kv: the platform's key-value service.
-      calls: reports of engines, and orders to them.
-      cache_calls: what the stores of cache parts say.
+      calls: reads reports of engines and sends them rollout commands.
+      cache_calls: reads which cached parts the stores hold.
     """
 
     def __init__(
@@ -113,7 +114,7 @@
             reactor,
             lambda: metrics.connections_made.add(1),
         )
-        self.routes = RouteBook(self._routed)
+        self.routes = RouteBook(self._apply_routing)
         self.registry = Registry(self.directory, reactor, settings.heartbeat_s)
         self.factory = GatewayFactory(
             self.handle, self._limits, reactor.seconds, reactor.callLater
@@ -121,8 +122,8 @@
         self.in_progress = 0
         self._reactor = reactor
         self._entries = self._entry_book(kv, reactor, random)
-        me = (settings.host, settings.internal_port)
-        self.talk = PeerTalk(me, reactor)
+        own_address = (settings.host, settings.internal_port)
+        self.messenger = PeerTalk(own_address, reactor)
         self._evacuations = Evacuations(
             settings.zones,
             self.directory.evacuate,
@@ -130,31 +131,35 @@
             reactor.seconds,
         )
         self.owners = Ownership(
-            me, self.directory, self._evacuations, self.talk, reactor
+            own_address,
+            self.directory,
+            self._evacuations,
+            self.messenger,
+            reactor,
         )
         self.quarantine = Quarantine(
-            self.owners.ring, self.talk, kv, reactor, self._break_off
+            self.owners.ring, self.messenger, kv, reactor, self._cancel_attempts
         )
         self._bounds = WeightBounds(settings.bounds.weights_s)
         self.prefix_cache = PrefixCache(
             self.owners,
             cache_calls,
-            self._newest,
+            self._newest_version,
             self.directory.engine_weights,
-            self.talk,
+            self.messenger,
             reactor,
             random,
         )
-        shortlist = CandidateList(
+        candidates = CandidateList(
             self.directory, settings.zone, self._bounds, reactor.seconds
         )
         costs = Costs(settings.zone, self.prefix_cache.map, reactor.seconds)
         reporter = self.owners.load_reporter
         self._placer = Placer(
             self.directory,
-            shortlist,
+            candidates,
             costs,
-            Dispatcher(costs, self.prefix_cache.map, self._newest),
+            Dispatcher(costs, self.prefix_cache.map, self._newest_version),
             Listeners(
                 reporter.sent,
                 reporter.changed,
@@ -165,28 +170,28 @@
             reactor.seconds,
         )
         self._prober = CandidateProber(
-            shortlist,
+            candidates,
             costs,
             self.owners.load_queries,
             self.prefix_cache.queries,
             reactor.seconds,
         )
-        self._underway: set[HttpAttempt] = set()
+        self._in_flight: set[HttpAttempt] = set()
         self._silence = SilenceWatch(self.directory, calls, reactor.seconds)
-        self._grace = Grace(
+        self._grace = GracePeriod(
             reactor.seconds, lambda: self.settings.bounds.grace_s
         )
         self._tick = None
-        self._tidy_at = 0.0
+        self._clean_up_at = 0.0
         self._budget = self._new_budget()
-        self._means = self._call_means(random)
+        self._context = self._call_context(random)
         self._lease = RolloutLease(
             kv,
             settings.vm,
             reactor,
             random,
             settings.bounds.lease_s,
-            self._rolls_out,
+            self._apply_rollout,
             self.owners.ring.rank,
         )
         self._rollout_commands = RolloutCommands(
@@ -203,7 +208,8 @@
             {
                 OPERATOR_PREFIX: self.routes,
                 EVACUATION_PREFIX: self._evacuations,
-                # Before the endpoints: a cold one is shared by all entries.
+                # Before the endpoints: all entries share the request rate that
+                # a cold endpoint allows.
                 ENTRIES_PREFIX: self._entries,
                 REGISTRY_PREFIX: self.registry,
                 QUARANTINE_KEYS: self.quarantine.written,
@@ -211,25 +217,26 @@
             },
             reactor,
             random,
-            _WATCH_S,
-            _PACE_S,
-            _URGENT,
+            _WATCH_TIMEOUT_S,
+            _WATCH_PAUSES_S,
+            _URGENT_PREFIXES,
         )
 
     def start(self) -> None:
-        """Begins to read routes and endpoints."""
-        self._observe()
+        """Starts reading routes and endpoints."""
+        self._register_gauges()
         self._watch_client.start()
         self._lease.start()
         self._entries.start()
-        self._ticked()
+        self._on_tick()
         emit(Event.STARTED, vm=self.settings.vm, zone=self.settings.zone)
 
     def reload(self, settings: Settings | Failure) -> None:
-        """Takes changed settings; a file that is wrong changes nothing.
+        """Applies changed settings; an invalid file changes nothing.
 
-        Addresses and the zone stay as they were at the start: a process
-        cannot move, and the platform starts a new one for that.
+        Only the bounds are applied. Addresses and the zone stay as they were
+        at the start: a process cannot move, and the platform starts a new one
+        instead.
         """
         if isinstance(settings, Failure):
             emit(
@@ -248,7 +255,7 @@
         emit(Event.RELOADED, vm=settings.vm)
 
     def ready(self) -> bool:
-        """Whether the balancer may send callers."""
+        """Returns whether the load balancer may send callers."""
         return (
             not self._grace.begun
             and self.routes.table is not None
@@ -256,21 +263,21 @@
         )
 
     async def stop(self) -> int:
-        """Finishes what was taken, within the platform's grace.
+        """Finishes the accepted calls within the platform's grace period.
 
         Returns:
-          how many calls were left.
+          the number of calls that were still in progress.
         """
         self._grace.begin()
         emit(Event.DRAINING, vm=self.settings.vm, running=self.in_progress)
         ensureDeferred(self._lease.stop())
         ensureDeferred(self._entries.stop())
-        await sleep(self._reactor, NOTICED_S)
+        await sleep(self._reactor, READINESS_NOTICE_S)
         while self.clock() < self._grace.end:
             self.factory.close_idle()
-            if not self.in_progress and not self._reading():
+            if not self.in_progress and not self._is_reading():
                 break
-            await sleep(self._reactor, _DRAIN_STEP_S)
+            await sleep(self._reactor, _DRAIN_POLL_INTERVAL_S)
         self._watch_client.stop()
         self.prefix_cache.stop()
         self.owners.stop()
@@ -281,17 +288,17 @@
         return self.in_progress
 
     def handle(self, req: GatewayRequest) -> None:
-        """Answers one whole request."""
+        """Serves one complete request."""
         sink = GatewaySink(req, closing=self._grace.begun)
         call = self._admit(req)
         if isinstance(call, Failure):
-            self._refused_early(req, call)
+            self._log_early_refusal(req, call)
             sink.refuse(call)
             return
         self.in_progress += 1
-        GatewayCall(self._means, call, sink, self._over).start(req)
+        GatewayCall(self._context, call, sink, self._on_call_done).start(req)
 
-    def _over(self) -> None:
+    def _on_call_done(self) -> None:
         self.in_progress -= 1
 
     def _entry_book(self, kv: Kv, reactor, random: Random) -> EntryBook:
@@ -302,11 +309,13 @@
             settings.zone,
             settings.cores,
         )
-        return EntryBook(kv, settings.vm, row, reactor, random, self._counted)
+        return EntryBook(
+            kv, settings.vm, row, reactor, random, self._apply_entry_count
+        )
 
-    def _call_means(self, random: Random) -> CallMeans:
+    def _call_context(self, random: Random) -> CallContext:
         metrics = self.metrics
-        return CallMeans(
+        return CallContext(
             serving=Means(
                 budget=self._budget,
                 retried=lambda service: metrics.retries.add(
@@ -315,13 +324,13 @@
                 clock=self._reactor,
                 random=random,
                 new_hex=lambda: secrets.token_hex(8),
-                backoff=lambda: Backoff(*_BACKOFF_S),
+                backoff=lambda: Backoff(*_RETRY_PAUSES_S),
             ),
             placer=self._placer,
             prober=self._prober,
             admission=self.owners.admission_client,
             quarantine=self.quarantine,
-            underway=self._underway,
+            in_flight=self._in_flight,
             clock=self.clock,
             metrics=metrics,
         )
@@ -329,12 +338,16 @@
     def _admit(self, req: GatewayRequest) -> ForwardCall | Failure:
         if self.routes.table is None:
             return failed(Code.CONFIG_MISSING, retry_after_s=0.5)
-        if not self._grace.takes_work:
+        if not self._grace.accepts_calls:
             return failed(Code.DRAINING, retry_after_s=0.1)
         call = read_call(req, self.routes.table, self.clock())
-        return call if isinstance(call, Failure) else self._grace.within(call)
+        return (
+            call
+            if isinstance(call, Failure)
+            else self._grace.limit_deadline(call)
+        )
 
-    def _refused_early(self, req: GatewayRequest, failure: Failure) -> None:
+    def _log_early_refusal(self, req: GatewayRequest, failure: Failure) -> None:
         self.metrics.refusals.add(1, {"code": failure.code.name})
         emit(
             Event.REQUEST_FAILED,
@@ -344,8 +357,8 @@
             **explain(failure),
         )
 
-    def _observe(self) -> None:
-        """Measures states whenever metrics are read."""
+    def _register_gauges(self) -> None:
+        """Registers the gauges."""
         observe_states(
             self.metrics,
             {
@@ -368,28 +381,28 @@
             self.clock,
         )
 
-    def _break_off(self, digest: RequestDigest) -> None:
-        """Ends what is under way of a request that ends endpoints."""
-        for attempt in list(self._underway):
+    def _cancel_attempts(self, digest: RequestDigest) -> None:
+        """Aborts the attempts of a request that crashes endpoints."""
+        for attempt in list(self._in_flight):
             if attempt.digest == digest:
                 attempt.break_off()
 
-    def _routed(self, routing: Routing) -> None:
+    def _apply_routing(self, routing: Routing) -> None:
         self.directory.configure(routing)
         self.registry.configure(routing)
         self.prefix_cache.configure(routing)
 
-    def _rolls_out(self, rollout: Rollout, own: bool) -> None:
-        """Takes which engines load weights now, from the lease's holder."""
+    def _apply_rollout(self, rollout: Rollout, own: bool) -> None:
+        """Applies the leader's choice of engines that load weights now."""
         self.directory.rolls_out(rollout)
         if own:
             self.owners.load_reporter.spread(rollout)
 
-    def _newest(self, model: str) -> int:
-        """Returns the newest version of a model that is known of.
+    def _newest_version(self, model: str) -> int:
+        """Returns the newest known weight version of a model.
 
-        An entry that is cut off from the key-value service hears of it from
-        the others' rollouts.
+        An entry that is cut off from the key-value service learns the version
+        from the rollout state that other entries send.
         """
         named = self.routes.weights.get(model, 0)
         rollout = self.directory.rollout
@@ -397,19 +410,19 @@
             return max(named, rollout.version)
         return named
 
-    def _note_weights(self, now: float) -> None:
-        """Notes when the newest weights were first heard of."""
+    def _record_newest_versions(self, now: float) -> None:
+        """Records when each model's newest version was first known."""
         rollout = self.directory.rollout
-        told = {rollout.model} if rollout is not None else set()
-        for model in told.union(self.routes.weights):
-            self._bounds.heard(model, self._newest(model), now)
+        models = {rollout.model} if rollout is not None else set()
+        for model in models.union(self.routes.weights):
+            self._bounds.heard(model, self._newest_version(model), now)
 
-    def _counted(
+    def _apply_entry_count(
         self, members: dict[Address, float], sharing: set[Address]
     ) -> None:
         self.owners.entries(members)
-        me = (self.settings.host, self.settings.internal_port)
-        rank = sum(address < me for address in sharing)
+        own_address = (self.settings.host, self.settings.internal_port)
+        rank = sum(address < own_address for address in sharing)
         self.directory.counted(len(sharing), rank)
         budget = self._new_budget()
         self._budget.limit = budget.limit
@@ -421,30 +434,32 @@
     def _new_budget(self) -> Budget:
         bounds = self.settings.bounds
         return Budget(
-            ratio=bounds.retry_ratio * _EARNED_SHARE,
-            limit=bounds.retry_extra * _SAVED_SHARE / self.directory.entries,
+            ratio=bounds.retry_ratio * _RETRY_RATIO_SHARE,
+            limit=bounds.retry_extra
+            * _RETRY_LIMIT_SHARE
+            / self.directory.entries,
         )
 
-    def _reading(self) -> bool:
-        return any(not channel.between for channel in self.factory.channels)
+    def _is_reading(self) -> bool:
+        return any(not channel.is_idle for channel in self.factory.channels)
 
-    def _ticked(self) -> None:
-        self._tick = self._reactor.callLater(_TICK_S, self._ticked)
+    def _on_tick(self) -> None:
+        self._tick = self._reactor.callLater(_TICK_INTERVAL_S, self._on_tick)
         now = self.clock()
-        if now >= self._tidy_at:
-            self._tidy_at = now + _TIDY_S
-            self._tidy(now)
-        for attempt in list(self._underway):
+        if now >= self._clean_up_at:
+            self._clean_up_at = now + _CLEAN_UP_INTERVAL_S
+            self._clean_up(now)
+        for attempt in list(self._in_flight):
             attempt.sweep(now)
-        self._silence.tick(self._underway)
-        self.factory.sweep(now)
+        self._silence.tick(self._in_flight)
+        self.factory.check_timeouts(now)
         self.registry.tick()
         self._entries.tick()
-        self._note_weights(now)
+        self._record_newest_versions(now)
         self._rollout_commands.tick()
         self.owners.tick(now)
         self.quarantine.tick(now)
 
-    def _tidy(self, now: float) -> None:
+    def _clean_up(self, now: float) -> None:
         self.prefix_cache.tick(now)
         self.directory.trim()
--- a/magnolialug/entry/gatewaycall.py
+++ b/magnolialug/entry/gatewaycall.py
@@ -1,4 +1,4 @@
-"""One caller's request from its admission to its last byte."""
+"""Serves one caller's request, from admission to the end of the response."""
 
 from collections.abc import Callable
 
@@ -23,18 +23,20 @@
 from magnolialug.requestlog import RequestLog
 from magnolialug.result import Code, Executed, Failure, failed
 
-__all__ = ["CallMeans", "GatewayCall"]
+__all__ = ["CallContext", "GatewayCall"]
 
 
-class CallMeans(msgspec.Struct, frozen=True):
-    """What a gateway serves its calls with.
+class CallContext(msgspec.Struct, frozen=True):
+    """What all calls of a gateway share.
 
     Attributes:
-      serving: what the retry loop needs.
-      prober: finds out what endpoints have to do.
-      admission: where long prompts wait for memory.
+      serving: what the retry loop uses.
+      placer: chooses the endpoints.
+      prober: queries the current load of endpoints.
+      admission: queues long prompts until an engine has memory for them.
       quarantine: refuses requests that crash endpoints.
-      underway: the attempts that the gateway watches for silence.
+      in_flight: the running attempts, which the gateway checks for time-outs
+        and silent endpoints.
     """
 
     serving: Means
@@ -42,86 +44,89 @@
     prober: CandidateProber
     admission: AdmissionClient
     quarantine: Quarantine
-    underway: set[HttpAttempt]
+    in_flight: set[HttpAttempt]
     clock: Callable[[], float]
     metrics: GatewayMetrics
 
 
 class GatewayCall:
-    """Serves one call and tells how it ended.
+    """Serves one call, and logs and counts its result.
 
     Args:
-      on_over: is told when nothing of the call is left.
+      on_done: called when the call has ended.
     """
 
     def __init__(
         self,
-        means: CallMeans,
+        context: CallContext,
         call: ForwardCall,
         sink: GatewaySink,
-        on_over: Callable[[], None],
+        on_done: Callable[[], None],
     ):
-        self._means = means
+        self._context = context
         self._call = call
         self._sink = sink
-        self._on_over = on_over
+        self._on_done = on_done
         self._log = RequestLog(call.name)
         self._carrier = HttpCarrier(
-            means.placer,
-            means.prober,
-            means.admission,
-            means.quarantine,
-            means.underway,
-            means.clock,
+            context.placer,
+            context.prober,
+            context.admission,
+            context.quarantine,
+            context.in_flight,
+            context.clock,
             call,
             sink,
             self._log,
-            means.metrics,
-            means.serving.budget,
+            context.metrics,
+            context.serving.budget,
         )
 
     def start(self, req: GatewayRequest) -> None:
-        """Begins to serve the call."""
-        self._means.serving.budget.deposit(self._call.service)
+        """Starts serving the call."""
+        self._context.serving.budget.deposit(self._call.service)
         serving = Serving(
-            self._means.serving, self._call, self._carrier, self._log
+            self._context.serving, self._call, self._carrier, self._log
         )
         fut = ensureDeferred(serving.run())
-        req.notifyFinish().addErrback(lambda _: self._left(fut))
-        fut.addCallback(self._ended)
-        fut.addErrback(self._broken)
-        fut.addBoth(lambda _: self._on_over())
+        req.notifyFinish().addErrback(lambda _: self._on_caller_left(fut))
+        fut.addCallback(self._on_result)
+        fut.addErrback(self._on_error)
+        fut.addBoth(lambda _: self._on_done())
 
-    def _ended(self, result: Served | Failure) -> None:
+    def _on_result(self, result: Served | Failure) -> None:
         if isinstance(result, Served):
             self._count_served(result)
             return
         if not self._carrier.deliver_kept():
-            self._sink.refuse(self._in_time(result))
+            self._sink.refuse(self._with_timeout_cause(result))
         self._count_failed(result)
 
-    def _in_time(self, failure: Failure) -> Failure:
-        """Says of a failure at the deadline that time was the cause."""
-        over = self._means.clock() >= self._call.deadline
-        if over and failure.executed is not Executed.NO:
+    def _with_timeout_cause(self, failure: Failure) -> Failure:
+        """Returns TIMED_OUT for a failure after the deadline.
+
+        A request that did not run keeps its own failure.
+        """
+        expired = self._context.clock() >= self._call.deadline
+        if expired and failure.executed is not Executed.NO:
             return failed(Code.TIMED_OUT, failure.reason)
         return failure
 
-    def _left(self, fut: Deferred) -> None:
-        """Stops the work for a caller that has left.
+    def _on_caller_left(self, fut: Deferred) -> None:
+        """Cancels the call of a caller that has disconnected.
 
-        A non-idempotent request is let finish: broken off it would leave
-        half a booking.
+        A non-idempotent request is allowed to finish: cancelling it could
+        leave half a booking.
         """
-        self._sink.left()
+        self._sink.caller_left()
         if self._call.route.form is not RouteType.NON_IDEMPOTENT:
-            self._log_left()
+            self._log_cancelled()
             fut.cancel()
 
-    def _log_left(self) -> None:
-        """Logs what a call that its caller gives up was waiting for."""
+    def _log_cancelled(self) -> None:
+        """Logs which phase a call was in when its caller disconnected."""
         state = self._carrier.state
-        now = self._means.clock()
+        now = self._context.clock()
         self._log.emit(
             Event.CANCELLED,
             route=self._call.route.name,
@@ -131,8 +136,8 @@
             left_s=round(self._call.deadline - now, 3),
         )
 
-    def _broken(self, reason: TwistedFailure) -> None:
-        """Ends a response whose task was cancelled or is at fault."""
+    def _on_error(self, reason: TwistedFailure) -> None:
+        """Ends a response whose task was cancelled or raised an error."""
         if reason.check(CancelledError):
             self._count("cancelled")
             return
@@ -141,17 +146,21 @@
         self._log.failed()
 
     def _count(self, status: object) -> float:
-        """Counts the call; returns how long it took."""
-        took_s = self._means.clock() - self._call.arrived
+        """Counts the call and returns its duration in seconds."""
+        took_s = self._context.clock() - self._call.arrived
         route = self._call.route.name
-        self._means.metrics.requests.add(1, {"route": route, "status": status})
-        self._means.metrics.answer.record(took_s, {"route": route})
+        self._context.metrics.requests.add(
+            1, {"route": route, "status": status}
+        )
+        self._context.metrics.answer.record(took_s, {"route": route})
         return took_s
 
     def _count_served(self, served: Served) -> None:
         route = self._call.route.name
         took_s = self._count(self._sink.status)
-        self._means.metrics.first_event.record(served.ttft_s, {"route": route})
+        self._context.metrics.first_event.record(
+            served.ttft_s, {"route": route}
+        )
         self._log.emit(
             Event.REQUEST_DONE,
             route=route,
@@ -163,7 +172,7 @@
 
     def _count_failed(self, failure: Failure) -> None:
         took_s = self._count(self._sink.status)
-        self._means.metrics.refusals.add(1, {"code": failure.code.name})
+        self._context.metrics.refusals.add(1, {"code": failure.code.name})
         state = self._carrier.state
         self._log.emit(
             Event.REQUEST_FAILED,
--- a/magnolialug/entry/gatewaychannel.py
+++ b/magnolialug/entry/gatewaychannel.py
@@ -1,4 +1,4 @@
-"""Callers' connections to the gateway."""
+"""HTTP connections from callers to the gateway."""
 
 from twisted.internet.protocol import Factory
 from twisted.web.http import HTTPChannel, Request
@@ -9,47 +9,48 @@
 
 __all__ = ["GatewayChannel", "GatewayFactory", "GatewayRequest"]
 
-# A caller reuses a connection up to its announced idle limit; closing a
-# little later than that means that no request crosses the close.
+# A caller may reuse a connection until its announced idle limit. The gateway
+# closes it slightly later, so that no request is in transit when it closes.
 _IDLE_SLACK_S = 0.5
-# The header limit is the operator's; the body may take this long after it.
-_BODY_S = 30.0
+# The operator sets the time for the headers; the body may take this much more.
+_BODY_TIMEOUT_S = 30.0
 
 
 class GatewayRequest(BoundedBody, Request):
-    """A request that is passed on as it came.
+    """A request that is forwarded unchanged.
 
-    The library's parsing of forms, cookies and arguments is left out: what
-    is not looked at costs nothing and cannot be misread.
+    Twisted's parsing of forms, cookies and arguments is skipped: the gateway
+    does not need it, and it costs time and could misinterpret the request.
     """
 
     defaultContentType = None
 
     def parseCookies(self) -> None:
-        """Leaves cookies as they are."""
+        """Does not parse cookies."""
 
     def requestReceived(self, command, path, version) -> None:
-        """Hands a whole request to the gateway."""
+        """Passes a complete request to the gateway."""
         if self.refused:
             return
         self.method, self.uri, self.clientproto = command, path, version
         self.channel.factory.handle(self)
 
     def body(self) -> bytes:
-        """Returns the whole body."""
+        """Returns the complete body."""
         return self.content.getvalue()
 
 
 class GatewayChannel(IntakeChannel):
     """One caller's connection.
 
-    Its times are looked at by a sweep over all connections, which costs less
-    than a timer each and follows changed limits at once.
+    Time-outs are checked in one periodic pass over all connections. That
+    costs less than a timer for each, and changed limits apply at once.
 
     Attributes:
-      since: when the connection became idle, or the request began to come.
-      reading: whether part of a request has come.
-      in_body: whether its headers are whole.
+      phase_started_at: when the connection became idle, or when the first
+        bytes of the current request arrived, in seconds.
+      reading: whether part of a request has arrived.
+      in_body: whether its headers are complete.
     """
 
     requestFactory = GatewayRequest
@@ -58,65 +59,65 @@
     in_body = False
 
     def body_limit(self) -> int:
-        """Returns the most bytes that a body may have."""
+        """Returns the maximum size of a body in bytes."""
         return self.factory.limits().body_bytes
 
     def connectionMade(self) -> None:
-        """Joins the factory's connections."""
+        """Adds the connection to the factory's set."""
         self.totalHeadersSize = self.factory.limits().header_bytes
-        self.since = self.factory.clock()
+        self.phase_started_at = self.factory.clock()
         super().connectionMade()
         watch_path(self.transport)
         self.factory.channels.add(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Takes bytes from the caller."""
+        """Handles bytes from the caller."""
         if not self.busy and not self.reading:
             self.reading = True
-            self.since = self.factory.clock()
+            self.phase_started_at = self.factory.clock()
         super().dataReceived(data)
 
     def allHeadersReceived(self) -> None:
-        """Goes on to the body."""
+        """Starts reading the body."""
         self.in_body = True
         super().allHeadersReceived()
 
     def allContentReceived(self) -> None:
-        """Goes on to the answer."""
+        """Ends the reading of a request."""
         self.reading = self.in_body = False
         super().allContentReceived()
 
     def requestDone(self, request) -> None:
-        """Goes on to the next request of the connection."""
-        self.since = self.factory.clock()
+        """Prepares for the next request of the connection."""
+        self.phase_started_at = self.factory.clock()
         self.totalHeadersSize = self.factory.limits().header_bytes
         super().requestDone(request)
 
     def connectionLost(self, reason) -> None:
-        """Leaves the factory's connections."""
+        """Removes the connection from the factory's set."""
         self.factory.channels.discard(self)
         super().connectionLost(reason)
 
     @property
     def busy(self) -> bool:
-        """Whether a whole request is being answered."""
+        """Whether a complete request is being answered."""
         return self._handlingRequest
 
     @property
-    def between(self) -> bool:
-        """Whether nothing of a request has come."""
+    def is_idle(self) -> bool:
+        """Whether no request is being read or answered."""
         return not self.reading and not self.busy
 
-    def sweep(self, now: float) -> None:
-        """Ends a connection that has been idle or slow for too long."""
+    def check_timeouts(self, now: float) -> None:
+        """Closes an idle connection or refuses a slow request when due."""
         limits = self.factory.limits()
-        waited = now - self.since
+        waited = now - self.phase_started_at
         if self.busy:
             return
-        if self.between:
+        if self.is_idle:
             if waited > limits.idle_s + _IDLE_SLACK_S:
                 self.loseConnection()
-        elif self.in_body and waited > limits.header_s + _BODY_S:
+        elif self.in_body and waited > limits.header_s + _BODY_TIMEOUT_S:
             self.refuse(failed(Code.BODY_TOO_SLOW, field="(body)"))
         elif not self.in_body and waited > limits.header_s:
             self.refuse(failed(Code.BODY_TOO_SLOW, field="(headers)"))
@@ -126,38 +127,38 @@
     """Accepts callers' connections.
 
     Args:
-      handle: gets each whole request.
-      limits: returns the limits in force.
+      handle: receives each complete request.
+      limits: returns the current limits.
       clock: returns the time in seconds.
-      later: calls back after some seconds.
+      call_later: calls a function after a delay in seconds.
     """
 
     noisy = False
     protocol = GatewayChannel
 
-    def __init__(self, handle, limits, clock, later):
+    def __init__(self, handle, limits, clock, call_later):
         self.handle = handle
         self.limits = limits
         self.clock = clock
         self.channels: set[GatewayChannel] = set()
-        self._later = later
+        self._call_later = call_later
 
     def buildProtocol(self, addr) -> HTTPChannel:
-        """Returns the channel of a new connection."""
+        """Returns the channel for a new connection."""
         channel = super().buildProtocol(addr)
-        channel.callLater = self._later
+        channel.callLater = self._call_later
         return channel
 
     def log(self, request) -> None:
-        """Keeps no access log of its own."""
+        """Writes no access log."""
 
-    def sweep(self, now: float) -> None:
-        """Looks at the times of all connections."""
+    def check_timeouts(self, now: float) -> None:
+        """Checks the time-outs of all connections."""
         for channel in list(self.channels):
-            channel.sweep(now)
+            channel.check_timeouts(now)
 
     def close_idle(self) -> None:
-        """Closes the connections on which nothing is under way."""
+        """Closes the connections that have no request in progress."""
         for channel in list(self.channels):
-            if channel.between:
+            if channel.is_idle:
                 channel.loseConnection()
--- a/magnolialug/entry/gatewayintake.py
+++ b/magnolialug/entry/gatewayintake.py
@@ -1,4 +1,4 @@
-"""Turns a caller's request into a call, or says why it is refused."""
+"""Parses a caller's request into a call, or returns why it is refused."""
 
 from magnolialug.config.routing import Route, RouteTeam
 from magnolialug.entry.forwardcall import ForwardCall
@@ -12,13 +12,13 @@
 
 __all__ = ["read_call"]
 
-_NOBODY = RouteTeam(TeamId(""), ())
+_ANONYMOUS = RouteTeam(TeamId(""), ())
 
 
 def read_call(
     req: GatewayRequest, table: RouteTable, now: float
 ) -> ForwardCall | Failure:
-    """Returns the call, with its route, team and deadline."""
+    """Returns the call with its route, team and deadline, or a failure."""
     headers = [
         (name.lower(), value)
         for name, values in req.requestHeaders.getAllRawHeaders()
@@ -39,23 +39,25 @@
 def _route(req: GatewayRequest, table: RouteTable) -> Route | Failure:
     hosts = req.requestHeaders.getRawHeaders(b"host") or []
     if len(hosts) != 1:
-        return failed(Code.AMBIGUOUS_HEADER, "required once", "host")
+        return failed(Code.AMBIGUOUS_HEADER, "exactly one is required", "host")
     path = req.uri.partition(b"?")[0]
     if not path.startswith(b"/"):
-        return failed(Code.UNKNOWN_PATH, "must begin with /", "path", req.uri)
+        return failed(Code.UNKNOWN_PATH, "must start with /", "path", req.uri)
     host = hosts[0].decode("latin-1").partition(":")[0].lower()
     route = table.match(host, path.decode("latin-1"))
-    return route or failed(Code.UNKNOWN_PATH, "no route", "path", req.uri)
+    return route or failed(
+        Code.UNKNOWN_PATH, "no route matches", "path", req.uri
+    )
 
 
 def _team(table: RouteTable, route: Route, marks: Marks) -> RouteTeam | Failure:
     if not table.asks_for_keys:
-        return _NOBODY
+        return _ANONYMOUS
     team = table.team(marks.key) if marks.key else None
     if team is not None:
         return team
     if route.public:
-        return _NOBODY
+        return _ANONYMOUS
     code = Code.UNKNOWN_TEAM if marks.key else Code.UNAUTHENTICATED
     return failed(code, field="authorization")
 
--- a/magnolialug/entry/gatewaymetrics.py
+++ b/magnolialug/entry/gatewaymetrics.py
@@ -1,4 +1,4 @@
-"""What a gateway counts and measures."""
+"""Metrics of the gateway."""
 
 from collections.abc import Callable, Iterable
 
@@ -6,15 +6,15 @@
 
 from magnolialug.metrics import Instruments
 
-__all__ = ["FIRST_BOUNDS_S", "GatewayMetrics"]
+__all__ = ["LATENCY_BUCKETS_S", "GatewayMetrics"]
 
-# Around the targets of the kinds served today, 0.1 to 0.8 s, and up to the
+# The latency targets of request kinds are 0.1 to 0.8 s; the last bound is the
 # longest time that a route allows.
-FIRST_BOUNDS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0)
+LATENCY_BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0)
 
 
 class GatewayMetrics(Instruments):
-    """Counters and histograms; states are observed when they are read."""
+    """Counters and histograms, and gauges that are read on demand."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,12 +22,12 @@
         self.first_event = meter.create_histogram(
             "first_event_seconds",
             "s",
-            explicit_bucket_boundaries_advisory=FIRST_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=LATENCY_BUCKETS_S,
         )
         self.answer = meter.create_histogram(
             "answer_seconds",
             "s",
-            explicit_bucket_boundaries_advisory=FIRST_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=LATENCY_BUCKETS_S,
         )
         self.requests = meter.create_counter("requests")
         self.refusals = meter.create_counter("refusals")
@@ -44,10 +44,11 @@
     def observe(
         self, name: str, rows: Callable[[], Iterable[tuple[float, dict]]]
     ) -> None:
-        """Measures a state each time that metrics are read.
+        """Registers a gauge that is evaluated whenever metrics are read.
 
         Args:
-          rows: returns values with their attributes.
+          name: the gauge's name.
+          rows: returns the values, each with its labels.
         """
 
         def callback(_: CallbackOptions) -> list[Observation]:
--- a/magnolialug/entry/gatewaysink.py
+++ b/magnolialug/entry/gatewaysink.py
@@ -1,62 +1,64 @@
-"""Writes an endpoint's answer to one caller."""
+"""Writes an endpoint's response to one caller."""
 
 import msgspec
 
 from magnolialug.carrier.pool import Flight
 from magnolialug.entry.forwardcall import HeaderList
 from magnolialug.entry.gatewaychannel import GatewayRequest
-from magnolialug.entry.shapes import error_body
+from magnolialug.entry.responseformats import error_body
 from magnolialug.result import CODES, Code, Executed, Failure
 
 __all__ = ["GatewaySink", "refusal_status"]
 
 _BAD_GATEWAY = 502
 _GATEWAY_TIMEOUT = 504
-# These say that the request did not run and never will.
-_PROMISES = (408, 421, 429, 503)
+# Callers take these statuses to mean that the request did not run.
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def refusal_status(failure: Failure) -> int:
-    """Returns the status of a failure as a whole.
+    """Returns the HTTP status for a failure.
 
-    A status that promises "not run" is only sent when that is known; a
-    caller that trusts it would book a second time.
+    A status that means "not run" is only sent when that is certain, because
+    a caller may repeat the request after it and book twice.
     """
     status = CODES[failure.code].status
     if failure.executed is Executed.NO:
         return status
     if failure.code is Code.TIMED_OUT:
         return _GATEWAY_TIMEOUT
-    return _BAD_GATEWAY if status in _PROMISES else status
+    return _BAD_GATEWAY if status in _NOT_RUN_STATUSES else status
 
 
 class GatewaySink:
-    """One response; it is the producer that the caller's socket holds back.
+    """One response; the push producer of the caller's connection.
+
+    While the caller does not read, it pauses the endpoint's response.
 
     Attributes:
-      opened: whether the head has been sent.
-      gone: whether the caller has left.
-      over: whether the response has ended, however.
+      opened: whether the status line and headers have been sent.
+      gone: whether the caller has disconnected.
+      ended: whether the response has ended, complete or not.
     """
 
     def __init__(self, req: GatewayRequest, closing: bool):
         self.opened = False
         self.gone = False
-        self.over = False
+        self.ended = False
         self.status = 0
         self._req = req
-        self._closing = closing
+        self._close_after = closing
         self._flight: Flight | None = None
         self._paused = False
 
-    def left(self) -> None:
-        """Learns that the caller has closed its connection."""
+    def caller_left(self) -> None:
+        """Records that the caller has closed its connection."""
         self.gone = True
-        self.over = True
+        self.ended = True
 
     def head(self, status: int, reason: bytes, headers: HeaderList) -> None:
-        """Takes the status line and headers."""
-        if self.over:
+        """Sends the status line and headers."""
+        if self.ended:
             return
         self.opened = True
         self.status = status
@@ -68,37 +70,38 @@
         req.registerProducer(self, True)
 
     def data(self, data: bytes) -> None:
-        """Takes a piece of the body."""
-        if not self.over:
+        """Sends a piece of the body."""
+        if not self.ended:
             self._req.write(data)
 
     def whole(self) -> None:
-        """Ends the answer as complete."""
-        if self.over:
+        """Ends the response as complete."""
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self._req.unregisterProducer()
         self._req.finish()
 
     def cut(self) -> None:
-        """Ends the answer so that it cannot look complete.
+        """Aborts the response so that the caller sees it as incomplete.
 
-        The connection closes without the last chunk or short of the length.
+        The connection closes before the last chunk or before the announced
+        length is reached.
         """
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self._req.unregisterProducer()
         self._req.channel.loseConnection()
 
     def refuse(self, failure: Failure) -> None:
-        """Answers with a numbered error, unless an answer has begun."""
+        """Sends a numbered error, or aborts a response that has started."""
         if self.opened:
             self.cut()
             return
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self.status = refusal_status(failure)
         req = self._req
         body = msgspec.json.encode(error_body(failure))
@@ -112,28 +115,28 @@
         req.finish()
 
     def holds(self, flight: Flight | None) -> None:
-        """Learns whom to hold back while the caller does not read."""
+        """Sets the exchange to pause while the caller does not read."""
         self._flight = flight
         if flight is not None and self._paused:
             flight.pause()
 
     def pauseProducing(self) -> None:
-        """Is called when the caller's socket is full."""
+        """Pauses the endpoint's response; the socket buffer is full."""
         self._paused = True
         if self._flight is not None:
             self._flight.pause()
 
     def resumeProducing(self) -> None:
-        """Is called when there is room again."""
+        """Resumes the endpoint's response; the socket buffer has room again."""
         self._paused = False
         if self._flight is not None:
             self._flight.resume()
 
     def stopProducing(self) -> None:
-        """Is called when the connection is gone."""
+        """Does nothing when the connection is lost."""
 
     def _announce_close(self) -> None:
-        """Tells the caller that the connection ends with this answer."""
-        if self._closing:
+        """Announces, if due, that the connection closes after this response."""
+        if self._close_after:
             self._req.setHeader(b"Connection", b"close")
             self._req.channel.persistent = False
--- a/magnolialug/entry/gauges.py
+++ b/magnolialug/entry/gauges.py
@@ -1,4 +1,4 @@
-"""States of a gateway that are measured whenever metrics are read."""
+"""Gauges of the gateway, evaluated whenever metrics are read."""
 
 from collections.abc import Callable, Iterator
 
@@ -15,7 +15,7 @@
 def observe_states(
     metrics: GatewayMetrics, states: dict[str, Callable[[], float]]
 ) -> None:
-    """Measures single values, by their names."""
+    """Registers a gauge without labels for each named value."""
     for name, value in states.items():
         metrics.observe(name, lambda value=value: [(value(), {})])
 
@@ -28,10 +28,10 @@
     retries_left: Callable[[str], float],
     clock: Callable[[], float],
 ) -> None:
-    """Measures what is known of endpoints, services and stores.
+    """Registers the gauges of endpoints, services and stores.
 
     Args:
-      retries_left: returns the retries that a service has left.
+      retries_left: returns how many retries a service has left.
       clock: returns the time in seconds.
     """
 
--- a/magnolialug/entry/httpattempt.py
+++ b/magnolialug/entry/httpattempt.py
@@ -13,7 +13,7 @@
 from magnolialug.config.routing import RouteType
 from magnolialug.entry.callstate import CallState, Phase
 from magnolialug.entry.dispatch import Dispatch
-from magnolialug.entry.eventcutter import EventCutter
+from magnolialug.entry.eventsplitter import EventSplitter
 from magnolialug.entry.forwardcall import ForwardCall, HeaderList
 from magnolialug.entry.peer import Peer
 from magnolialug.entry.progress import Ended, Progress
@@ -138,7 +138,7 @@
         self._answer: Answer | None = None
         self._kept: list[bytes] = []
         self._first_event_s = 0.0
-        self._cutter: EventCutter | None = None
+        self._splitter: EventSplitter | None = None
         self._flight: Flight | None = None
         self._why = End.WHOLE
 
@@ -217,7 +217,7 @@
     def _pass(self, stream: bool) -> None:
         self._stage = _Stage.PASSING
         if stream and self._call.route.resumable:
-            self._cutter = EventCutter(self._progress.seq)
+            self._splitter = EventSplitter(self._progress.seq)
         if not self._sink.opened:
             answer = self._answer
             self._sink.head(answer.status, answer.reason, answer.passed)
@@ -263,16 +263,16 @@
             self._on_first()
             if self._progress.first_at is None:
                 self._progress.first_at = self.heard_at
-        if self._cutter is None:
+        if self._splitter is None:
             self._sink.data(data)
             return
         try:
-            events = self._cutter.feed(data)
+            events = self._splitter.feed(data)
         except ValueError:
             self._why = End.GARBAGE
             self._flight.drop()
             return
-        self._progress.seq = self._cutter.last
+        self._progress.seq = self._splitter.last_id
         if events:
             self._sink.data(events)
 
@@ -307,12 +307,12 @@
             failure = failed(Code.ENDPOINT_FAILED, reason)
             kept = b"".join(self._kept)
             return Outcome(Ended(Ending.FAILED, failure), kept=kept)
-        if self._cutter is not None and self._cutter.torn:
+        if self._splitter is not None and self._splitter.has_partial_event:
             return Outcome(Ended(Ending.LOST, self._lost(End.CLOSED)))
         return Outcome(None)
 
     def _lost_ending(self) -> Ending:
-        passing = self._stage is _Stage.PASSING and self._cutter is None
+        passing = self._stage is _Stage.PASSING and self._splitter is None
         return Ending.CUT if passing else Ending.LOST
 
     def _refusal(self) -> Failure:
--- a/magnolialug/entry/intake.py
+++ b/magnolialug/entry/intake.py
@@ -1,4 +1,4 @@
-"""Limits on what a caller may send, before anything is looked at."""
+"""Limits on requests, enforced before a request is processed."""
 
 from io import BytesIO
 
@@ -6,17 +6,17 @@
 from twisted.web.http import HTTPChannel
 from twisted.web.server import Request, Site
 
-from magnolialug.entry.shapes import error_body
+from magnolialug.entry.responseformats import error_body
 from magnolialug.result import CODES, Code, Failure, failed
 
 __all__ = ["BoundedBody", "IntakeChannel", "IntakeRequest", "make_site"]
 
-_HEADER_BYTES = 16 * 1024
-_IDLE_S = 75
+_MAX_HEADER_BYTES = 16 * 1024
+_IDLE_TIMEOUT_S = 75
 _LINGER_S = 1.0
 
 
-def _raw(failure: Failure) -> bytes:
+def _raw_response(failure: Failure) -> bytes:
     body = msgspec.json.encode(error_body(failure))
     head = (
         f"HTTP/1.1 {CODES[failure.code].status} Refused\r\n"
@@ -28,20 +28,21 @@
 
 
 class IntakeChannel(HTTPChannel):
-    """Answers unreadable requests with a numbered error.
+    """Answers malformed requests with a numbered error.
 
-    Two lengths, a length beside chunks, or an unknown transfer coding can be
-    read one way by the balancer and another way here, so that one caller's
-    bytes become another's request. The library refuses them all; this class
-    only gives the refusal its number.
+    Two lengths, a length together with chunks, or an unknown transfer coding
+    can be interpreted one way by the load balancer and another way here, so
+    that one caller's bytes become another caller's request (request
+    smuggling). Twisted refuses all of these; this class only adds the error
+    number.
     """
 
-    totalHeadersSize = _HEADER_BYTES
+    totalHeadersSize = _MAX_HEADER_BYTES
     refused = False
-    _closing = None
+    _close_timer = None
 
     def body_limit(self) -> int:
-        """Returns the most bytes that a body may have."""
+        """Returns the maximum size of a body in bytes."""
         return self.site.limits().body_bytes
 
     def _respondToBadRequestAndDisconnect(self) -> None:  # noqa: N802
@@ -50,35 +51,35 @@
         self.refuse(failed(code, field="(headers)"))
 
     def lineLengthExceeded(self, line: bytes):
-        """Refuses a line that is over the limit."""
+        """Refuses a header line over the size limit."""
         self.refuse(failed(Code.BODY_TOO_LARGE, field="(headers)"))
 
     def refuse(self, failure: Failure) -> None:
-        """Answers, then closes once the caller had time to read it.
+        """Sends the error, and closes after the caller had time to read it.
 
-        Closing while the caller still writes resets the connection, and the
-        answer is lost on its way: the caller sees a broken pipe instead of
-        the error. So what still comes is dropped for a moment.
+        Closing while the caller is still writing resets the connection and
+        loses the response: the caller sees a broken pipe instead of the
+        error. Further input is therefore discarded for a short time first.
         """
         if self.refused:
             return
         self.refused = True
         self.setTimeout(None)
-        self.transport.write(_raw(failure))
+        self.transport.write(_raw_response(failure))
         half_close = getattr(self.transport, "loseWriteConnection", None)
         if half_close:
             half_close()
-        self._closing = self.callLater(_LINGER_S, self._close)
+        self._close_timer = self.callLater(_LINGER_S, self._close)
 
     def dataReceived(self, data: bytes) -> None:
-        """Takes bytes, or drops them after a refusal."""
+        """Handles bytes; after a refusal they are discarded."""
         if not self.refused:
             super().dataReceived(data)
 
     def connectionLost(self, reason) -> None:
-        """Ends the wait for a refused caller."""
-        if self._closing and self._closing.active():
-            self._closing.cancel()
+        """Cancels the delayed close."""
+        if self._close_timer and self._close_timer.active():
+            self._close_timer.cancel()
         super().connectionLost(reason)
 
     def _close(self) -> None:
@@ -86,63 +87,61 @@
 
 
 class BoundedBody:
-    """Keeps a request's body in memory, bounded in bytes.
-
-    The limit is the channel's `body_limit`.
-    """
+    """Buffers a request's body in memory, up to the channel's `body_limit`."""
 
     refused = False
 
     def gotLength(self, length: int | None) -> None:
-        """Begins a body."""
+        """Starts buffering a body."""
         self.content = BytesIO()
         if length:
-            self._check(length)
+            self._check_size(length)
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Takes a part of the body."""
-        self._check(self.content.tell() + len(data))
+        """Adds a part of the body."""
+        self._check_size(self.content.tell() + len(data))
         if not self.refused:
             self.content.write(data)
 
     def refuse(self, failure: Failure) -> None:
-        """Refuses the request; what still comes of it is dropped."""
+        """Refuses the request; its further input is discarded."""
         self.refused = True
         self.channel.refuse(failure)
 
-    def _check(self, size: int) -> None:
+    def _check_size(self, size: int) -> None:
         if not self.refused and size > self.channel.body_limit():
             self.refuse(failed(Code.BODY_TOO_LARGE, field="(body)", value=size))
 
 
 class IntakeRequest(BoundedBody, Request):
-    """Holds a body in memory, bounded in bytes and in time.
+    """Buffers a body in memory, limited in size and in time.
 
-    The limits are the site's `body_bytes` and `body_s`; a body written drop
-    by drop would otherwise hold its connection and memory for ever.
+    The limits are the site's `body_bytes` and `body_s`. Without a time limit
+    a body that is sent a few bytes at a time would hold its connection and
+    memory indefinitely.
     """
 
     _timer = None
 
     def gotLength(self, length: int | None) -> None:
-        """Begins a body."""
+        """Starts the body's time limit and buffering."""
         body_s = self.channel.site.limits().body_s
         self._timer = self.channel.callLater(body_s, self._too_slow)
         super().gotLength(length)
 
     def requestReceived(self, command, path, version) -> None:
-        """Goes on with a whole request."""
+        """Processes a complete request."""
         self._stop_timer()
         if not self.refused:
             super().requestReceived(command, path, version)
 
     def connectionLost(self, reason) -> None:
-        """Forgets the request."""
+        """Cancels the body's time limit."""
         self._stop_timer()
         super().connectionLost(reason)
 
     def refuse(self, failure: Failure) -> None:
-        """Refuses the request; what still comes of it is dropped."""
+        """Refuses the request; its further input is discarded."""
         self._stop_timer()
         super().refuse(failure)
 
@@ -155,16 +154,17 @@
 
 
 def make_site(resource, limits, reactor) -> Site:
-    """Returns a site with bounded intake.
+    """Returns a site that limits the size and duration of requests.
 
     Args:
-      limits: returns the limits in force.
+      resource: serves the requests.
+      limits: returns the current limits.
     """
     site = Site(
         resource,
         requestFactory=IntakeRequest,
         reactor=reactor,
-        timeout=_IDLE_S,
+        timeout=_IDLE_TIMEOUT_S,
     )
     site.protocol = IntakeChannel
     site.limits = limits
--- a/magnolialug/entry/linkcarrier.py
+++ b/magnolialug/entry/linkcarrier.py
@@ -6,7 +6,7 @@
 from magnolialug.attempt import Attempt
 from magnolialug.config.current import Current
 from magnolialug.entry.call import PromptCall, Sink
-from magnolialug.entry.claims import Claims, Held
+from magnolialug.entry.claims import ClaimResult, ClaimStore
 from magnolialug.entry.exchange import Exchange, Start
 from magnolialug.entry.fleet import Fleet
 from magnolialug.entry.progress import Ended, Progress, Served
@@ -37,7 +37,7 @@
         means: Means,
         current: Current,
         fleet: Fleet,
-        claims: Claims,
+        claims: ClaimStore,
         call: PromptCall,
         sink: Sink,
     ):
@@ -50,7 +50,7 @@
         self._progress = Progress()
         self._avoid: set[EndpointId] = set()
         self._number = 0
-        self._held: Held | None = None
+        self._held: ClaimResult | None = None
 
     async def attempt(self, progress: Progress) -> Served | Ended | Failure:
         """Places and makes one attempt."""
@@ -143,9 +143,9 @@
         claims = self._claims
         mine = claims.new_claim(self._call, endpoint, attempt)
         revision = self._held.revision if self._held else 0
-        held = await claims.take(self._call, mine, revision)
-        while isinstance(held, Held) and held.next is ClaimNext.MOVE:
-            held = await claims.take(self._call, mine, held.revision)
+        held = await claims.acquire(self._call, mine, revision)
+        while isinstance(held, ClaimResult) and held.next is ClaimNext.MOVE:
+            held = await claims.acquire(self._call, mine, held.revision)
         if isinstance(held, Failure):
             return held
         if held.next is ClaimNext.ANSWERED:
@@ -173,7 +173,7 @@
         """
         if self._call.kind.idempotent or self._held:
             return refusal
-        held = await self._claims.look(self._call)
+        held = await self._claims.lookup(self._call)
         if held is None:
             return refusal
         if isinstance(held, Failure):
@@ -186,7 +186,7 @@
         unrun = isinstance(end, Ended) and end.ending is Ending.NOT_RUN
         return refusal if unrun else end
 
-    def _found(self, held: Held) -> str:
+    def _found(self, held: ClaimResult) -> str:
         emit(Event.CLAIM_FOLLOWED, team=self._call.team, answered=True)
         self._sink.opened(held.claim.attempt.request_id)
         return held.claim.answer
--- a/magnolialug/entry/mailbox.py
+++ b/magnolialug/entry/mailbox.py
@@ -1,4 +1,4 @@
-"""A task's incoming messages."""
+"""A queue of incoming messages for one task."""
 
 from collections import deque
 from typing import Generic, TypeVar
@@ -14,10 +14,10 @@
 
 
 class Mailbox(Generic[T]):
-    """Messages in order, for one reader.
+    """A FIFO queue of messages with one reader.
 
-    Its length is bounded by the sender's window, not here: a sidecar sends
-    at most a window of pieces beyond the last ack.
+    Its length is not limited here but by the sender's window: a sidecar sends
+    at most one window of pieces beyond the last ack.
     """
 
     def __init__(self, clock: IReactorTime):
@@ -37,14 +37,14 @@
         fut.callback(item)
 
     async def get(self, timeout_s: float) -> T | TimedOut:
-        """Returns the next message, or TIMED_OUT."""
+        """Returns the next message, or TIMED_OUT after `timeout_s` seconds."""
         if self._items:
             return self._items.popleft()
         if timeout_s <= 0:
             return TIMED_OUT
-        self._waiting = Deferred(self._forget)
+        self._waiting = Deferred(self._cancel_wait)
         return await within(self._clock, timeout_s, self._waiting)
 
-    def _forget(self, fut: Deferred) -> None:
+    def _cancel_wait(self, fut: Deferred) -> None:
         if self._waiting is fut:
             self._waiting = None
--- a/magnolialug/entry/readiness.py
+++ b/magnolialug/entry/readiness.py
@@ -1,4 +1,4 @@
-"""Small answers: whether callers may be sent, and metrics as text."""
+"""HTTP listeners for the readiness check and for metrics as text."""
 
 from collections.abc import Callable
 
@@ -7,26 +7,26 @@
 
 __all__ = ["ready_factory", "text_factory"]
 
-# The balancer asks once a second on one connection or on many.
-_IDLE_S = 10
+# The load balancer checks once a second, on one connection or on many.
+_IDLE_TIMEOUT_S = 10
 
 
 def ready_factory(ready: Callable[[], bool]) -> Factory:
-    """Returns the factory of the balancer's connections."""
+    """Returns a factory that answers the load balancer's readiness checks."""
     return _factory(lambda: (200 if ready() else 503, b""))
 
 
 def text_factory(text: Callable[[], str]) -> Factory:
-    """Returns the factory of connections that are answered with a text."""
+    """Returns a factory that answers every request with a text."""
     return _factory(lambda: (200, text().encode()))
 
 
 def _factory(answer: Callable[[], tuple[int, bytes]]) -> Factory:
     class OneAnswerRequest(Request):
-        """Gives the same answer, whatever is asked."""
+        """Gives the same response to every request."""
 
         def process(self) -> None:
-            """Answers at once."""
+            """Writes the response."""
             status, body = answer()
             self.setResponseCode(status)
             self.setHeader(b"Content-Type", b"text/plain; charset=utf-8")
@@ -38,7 +38,7 @@
         """One connection."""
 
         requestFactory = OneAnswerRequest
-        timeOut = _IDLE_S
+        timeOut = _IDLE_TIMEOUT_S
 
     factory = Factory.forProtocol(OneAnswerChannel)
     factory.log = lambda request: None
--- a/magnolialug/entry/shapes.py
+++ b/magnolialug/entry/responseformats.py
@@ -1,4 +1,4 @@
-"""The JSON shapes of answers, as the callers' client libraries read them."""
+"""JSON formats of responses, as callers' client libraries expect them."""
 
 from collections.abc import Callable
 
@@ -7,15 +7,24 @@
 from magnolialug.result import CODES, Failure
 from magnolialug.wire.messages import Done
 
-__all__ = ["CHAT", "COMPLETION", "PLAIN", "Shape", "error_body", "usage_of"]
+__all__ = [
+    "CHAT",
+    "COMPLETION",
+    "PLAIN",
+    "ResponseFormat",
+    "error_body",
+    "usage_of",
+]
 
 
-class Shape(msgspec.Struct, frozen=True):
-    """How one interface writes answers.
+class ResponseFormat(msgspec.Struct, frozen=True):
+    """The response format of one API.
 
     Attributes:
-      chunk: makes a streamed event from id, time, model, text and finish.
-      whole: makes a whole answer from id, time, model, text, finish, usage.
+      chunk: returns a streamed event for id, time, model, text and finish
+        reason.
+      whole: returns a complete response for id, time, model, text, finish
+        reason and usage.
     """
 
     chunk: Callable[..., dict]
@@ -23,7 +32,7 @@
 
 
 def usage_of(done: Done | None) -> dict:
-    """Returns the usage object of an answer."""
+    """Returns the usage object of a response, all zeros without `done`."""
     if done is None:
         return {"prompt_tokens": 0, "completion_tokens": 0, "total_tokens": 0}
     return {
@@ -38,7 +47,7 @@
 
 
 def error_body(failure: Failure) -> dict:
-    """Returns the error object of a failure."""
+    """Returns the error object for a failure."""
     status = CODES[failure.code].status
     return {
         "error": {
@@ -53,43 +62,48 @@
     }
 
 
-def _head(kind: str, answer: str, created: int, model: str) -> dict:
-    return {"id": answer, "object": kind, "created": created, "model": model}
+def _head(kind: str, response_id: str, created: int, model: str) -> dict:
+    return {
+        "id": response_id,
+        "object": kind,
+        "created": created,
+        "model": model,
+    }
 
 
-def _chat_chunk(answer, created, model, text, finish) -> dict:
+def _chat_chunk(response_id, created, model, text, finish) -> dict:
     delta = {"role": "assistant", "content": text} if text else {}
     choice = {"index": 0, "delta": delta, "finish_reason": finish}
-    head = _head("chat.completion.chunk", answer, created, model)
+    head = _head("chat.completion.chunk", response_id, created, model)
     return {**head, "choices": [choice]}
 
 
-def _chat_whole(answer, created, model, text, finish, usage) -> dict:
+def _chat_whole(response_id, created, model, text, finish, usage) -> dict:
     message = {"role": "assistant", "content": text}
     choice = {"index": 0, "message": message, "finish_reason": finish}
-    head = _head("chat.completion", answer, created, model)
+    head = _head("chat.completion", response_id, created, model)
     return {**head, "choices": [choice], "usage": usage}
 
 
-def _chunk(answer, created, model, text, finish) -> dict:
+def _chunk(response_id, created, model, text, finish) -> dict:
     choice = {"index": 0, "text": text, "finish_reason": finish}
-    head = _head("text_completion", answer, created, model)
+    head = _head("text_completion", response_id, created, model)
     return {**head, "choices": [choice]}
 
 
-def _whole(answer, created, model, text, finish, usage) -> dict:
-    body = _chunk(answer, created, model, text, finish)
+def _whole(response_id, created, model, text, finish, usage) -> dict:
+    body = _chunk(response_id, created, model, text, finish)
     return {**body, "usage": usage}
 
 
-def _plain_chunk(answer, created, model, text, finish) -> dict:
-    return {"id": answer, "text": text, "finish_reason": finish}
+def _plain_chunk(response_id, created, model, text, finish) -> dict:
+    return {"id": response_id, "text": text, "finish_reason": finish}
 
 
-def _plain_whole(answer, created, model, text, finish, usage) -> str:
+def _plain_whole(response_id, created, model, text, finish, usage) -> str:
     return text
 
 
-CHAT = Shape(_chat_chunk, _chat_whole)
-COMPLETION = Shape(_chunk, _whole)
-PLAIN = Shape(_plain_chunk, _plain_whole)
+CHAT = ResponseFormat(_chat_chunk, _chat_whole)
+COMPLETION = ResponseFormat(_chunk, _whole)
+PLAIN = ResponseFormat(_plain_chunk, _plain_whole)
--- a/magnolialug/entry/sink.py
+++ b/magnolialug/entry/sink.py
@@ -1,4 +1,4 @@
-"""Writes an answer to one caller's HTTP response."""
+"""Writes an answer to one caller as an HTTP response."""
 
 import secrets
 from collections.abc import Callable
@@ -8,7 +8,11 @@
 from twisted.web.server import Request
 
 from magnolialug.entry.progress import Served
-from magnolialug.entry.shapes import Shape, error_body, usage_of
+from magnolialug.entry.responseformats import (
+    ResponseFormat,
+    error_body,
+    usage_of,
+)
 from magnolialug.ids import RequestId
 from magnolialug.result import CODES, Failure
 
@@ -16,7 +20,7 @@
 
 
 def write_failure(req: Request, failure: Failure, request_id: str = "") -> None:
-    """Answers with a numbered error; says when to come back if that helps."""
+    """Sends a numbered error, with Retry-After if the failure has a time."""
     req.setResponseCode(CODES[failure.code].status)
     req.setHeader("Content-Type", "application/json")
     req.setHeader("X-Request-Id", request_id or f"none.{secrets.token_hex(8)}")
@@ -28,19 +32,22 @@
 
 
 class CallerSink:
-    """Streams server-sent events, or gathers one JSON answer.
+    """Streams server-sent events, or collects one JSON response.
 
-    It is the response's producer: when the caller's socket is full, `piece`
-    does not return, so no further ack is sent and the sidecar stops sending.
+    It is the response's producer. While the caller's socket buffer is full,
+    `piece` does not return; no further ack is sent, and the sidecar stops
+    sending.
 
     Attributes:
-      gone: whether the caller has left.
+      gone: whether the caller has disconnected.
+      request_id: the id under which the answer can be requested again.
+      on_gone: called when the caller disconnects.
     """
 
     def __init__(
         self,
         req: Request,
-        shape: Shape,
+        response_format: ResponseFormat,
         model: str,
         created: int,
         stream: bool,
@@ -51,34 +58,34 @@
         self.request_id = ""
         self.on_gone = on_gone
         self._req = req
-        self._shape = shape
+        self._format = response_format
         self._model = model
         self._created = created
         self._stream = stream
         self._include_usage = include_usage
         self._open = False
         self._texts: list[str] = []
-        self._room: Deferred | None = None
-        req.notifyFinish().addErrback(self._left)
+        self._writable: Deferred | None = None
+        req.notifyFinish().addErrback(self._on_disconnect)
 
     def opened(self, request_id: RequestId) -> None:
-        """Learns the id under which the answer can be asked for."""
+        """Sets the id under which the answer can be requested again."""
         self.request_id = request_id
 
     async def piece(self, seq: int, text: str) -> None:
-        """Takes one piece; returns when the caller has room for more."""
+        """Sends one piece; returns when the socket buffer has room again."""
         if self.gone:
             return
         if not self._stream:
             self._texts.append(text)
             return
         self._begin()
-        chunk = self._shape.chunk(
+        chunk = self._format.chunk(
             self.request_id, self._created, self._model, text, None
         )
         self._event(chunk, seq)
-        if self._room is not None:
-            await self._room
+        if self._writable is not None:
+            await self._writable
 
     def end(self, result: Served | Failure) -> None:
         """Ends the response."""
@@ -92,21 +99,21 @@
             self._finish_whole(result)
 
     def pauseProducing(self) -> None:
-        """Is called when the caller's socket is full."""
-        if self._room is None:
-            self._room = Deferred()
+        """Blocks `piece`; the caller's socket buffer is full."""
+        if self._writable is None:
+            self._writable = Deferred()
 
     def resumeProducing(self) -> None:
-        """Is called when there is room again."""
-        room, self._room = self._room, None
-        if room:
-            room.callback(None)
+        """Unblocks `piece`; the socket buffer has room again."""
+        writable, self._writable = self._writable, None
+        if writable:
+            writable.callback(None)
 
     def stopProducing(self) -> None:
-        """Is called when the connection is gone."""
+        """Unblocks `piece`; the connection is lost."""
         self.resumeProducing()
 
-    def _left(self, _: object) -> None:
+    def _on_disconnect(self, _: object) -> None:
         self.gone = True
         self.resumeProducing()
         self.on_gone()
@@ -121,9 +128,9 @@
         self._req.registerProducer(self, True)
 
     def _event(self, body: dict, seq: int | None = None) -> None:
-        mark = b"" if seq is None else b"id: %d\n" % seq
+        id_line = b"" if seq is None else b"id: %d\n" % seq
         data = msgspec.json.encode(body)
-        self._req.write(mark + b"data: " + data + b"\n\n")
+        self._req.write(id_line + b"data: " + data + b"\n\n")
 
     def _fail(self, failure: Failure) -> None:
         if not self._open:
@@ -136,12 +143,12 @@
         self._begin()
         finish = served.done.finish if served.done else "stop"
         self._event(
-            self._shape.chunk(
+            self._format.chunk(
                 self.request_id, self._created, self._model, "", finish
             )
         )
         if self._include_usage:
-            usage = self._shape.chunk(
+            usage = self._format.chunk(
                 self.request_id, self._created, self._model, "", None
             )
             usage["choices"] = []
@@ -152,7 +159,7 @@
 
     def _finish_whole(self, served: Served) -> None:
         finish = served.done.finish if served.done else "stop"
-        body = self._shape.whole(
+        body = self._format.whole(
             self.request_id,
             self._created,
             self._model,
--- a/magnolialug/entry/web.py
+++ b/magnolialug/entry/web.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The entry's HTTP API."""
 
 import time
 
@@ -15,10 +15,15 @@
     read_chat,
     read_completion,
     read_json,
-    sampling,
+    sampling_options,
 )
 from magnolialug.entry.call import PromptCall
-from magnolialug.entry.shapes import CHAT, COMPLETION, PLAIN, Shape
+from magnolialug.entry.responseformats import (
+    CHAT,
+    COMPLETION,
+    PLAIN,
+    ResponseFormat,
+)
 from magnolialug.entry.sink import CallerSink, write_failure
 from magnolialug.ids import KindName, RequestId, ServiceName, TeamId
 from magnolialug.policy.blocks import prompt_root
@@ -27,12 +32,12 @@
 __all__ = ["EntryResource"]
 
 _BEARER = "Bearer "
-_KEY_LIMIT = 256
-_SHAPES = {"chat": CHAT, "completion": COMPLETION, "plain": PLAIN}
+_MAX_IDEMPOTENCY_KEY_CHARS = 256
+_FORMATS = {"chat": CHAT, "completion": COMPLETION, "plain": PLAIN}
 
 
 class EntryResource(Resource):
-    """Turns requests into calls; everything below is the application's."""
+    """Parses HTTP requests into calls and passes them to the application."""
 
     isLeaf = True
 
@@ -40,7 +45,7 @@
         super().__init__()
         self._app = app
         self._teams: dict[str, TeamId] = {}
-        self._teams_of = None
+        self._teams_deployment = None
 
     def render(self, req: Request):
         """Answers one request."""
@@ -50,38 +55,38 @@
         return NOT_DONE_YET
 
     def _route(self, req: Request) -> Failure | None:
-        parts = [p.decode("utf-8", "replace") for p in req.postpath if p]
-        if parts == ["healthz"]:
+        segments = [p.decode("utf-8", "replace") for p in req.postpath if p]
+        if segments == ["healthz"]:
             return self._health(req)
-        if parts == ["metrics"]:
-            return _finish(req, self._app.metrics.as_json())
-        if not parts or parts[0] != "v1":
+        if segments == ["metrics"]:
+            return _send_json(req, self._app.metrics.as_json())
+        if not segments or segments[0] != "v1":
             return failed(Code.UNKNOWN_PATH, field="path", value=req.path)
         team = self._team(req)
         if isinstance(team, Failure):
             return team
-        return self._call_of(req, team, req.method.decode("latin-1"), parts)
+        return self._dispatch(req, team, req.method.decode("latin-1"), segments)
 
-    def _call_of(
-        self, req: Request, team: TeamId, method: str, parts: list[str]
+    def _dispatch(
+        self, req: Request, team: TeamId, method: str, segments: list[str]
     ) -> Failure | None:
-        match (method, *parts[1:]):
+        match (method, *segments[1:]):
             case ("POST", "completions"):
-                return self._model(req, team, read_completion, COMPLETION)
+                return self._serve_model(req, team, read_completion, COMPLETION)
             case ("POST", "chat", "completions"):
-                return self._model(req, team, read_chat, CHAT)
+                return self._serve_model(req, team, read_chat, CHAT)
             case ("POST", "services", service, kind):
-                return self._plain(req, team, service, kind)
+                return self._serve_plain(req, team, service, kind)
             case ("GET", "requests", request_id):
-                return self._reread(req, team, RequestId(request_id))
+                return self._replay(req, team, RequestId(request_id))
             case ("GET", "models"):
-                return _finish(req, self._models())
+                return _send_json(req, self._models())
         return failed(Code.UNKNOWN_PATH, field="path", value=req.path)
 
     def _health(self, req: Request) -> None:
         ready = self._app.ready()
         req.setResponseCode(200 if ready else 503)
-        _finish(
+        _send_json(
             req,
             msgspec.json.encode(
                 {
@@ -98,10 +103,10 @@
         return msgspec.json.encode({"object": "list", "data": rows})
 
     def _team(self, req: Request) -> TeamId | Failure:
-        """Returns the team of the bearer key.
+        """Returns the team that owns the bearer key.
 
-        Keys are looked up by their hash, so the time taken tells nothing of
-        how much of a guessed key is right.
+        Keys are looked up by their hash, so that the response time does not
+        show how much of a guessed key is right.
         """
         values = req.requestHeaders.getRawHeaders("Authorization") or []
         if len(values) > 1:
@@ -111,15 +116,15 @@
         deployment = self._app.current.deployment
         if deployment is None:
             return failed(Code.CONFIG_MISSING)
-        if self._teams_of is not deployment:
-            self._teams_of = deployment
+        if self._teams_deployment is not deployment:
+            self._teams_deployment = deployment
             self._teams = deployment.teams_by_key()
         key = values[0][len(_BEARER) :].strip()
         team = self._teams.get(hash_key(key))
         return team or failed(Code.UNKNOWN_TEAM, field="Authorization")
 
-    def _model(
-        self, req: Request, team: TeamId, read, shape: Shape
+    def _serve_model(
+        self, req: Request, team: TeamId, read, response_format: ResponseFormat
     ) -> Failure | None:
         data = req.content.read()
         body = read(data)
@@ -129,7 +134,7 @@
         service = deployment.service_of_model(body.model)
         if service is None:
             return failed(Code.UNKNOWN_MODEL, field="model", value=body.model)
-        kind_name = (body.metadata or {}).get("kind") or _default(
+        kind_name = (body.metadata or {}).get("kind") or _default_kind(
             deployment.services[service].kinds
         )
         call = self._call(req, team, service, kind_name, body.prompt)
@@ -141,12 +146,12 @@
             weights=deployment.models[body.model].weights,
             max_tokens=_max_tokens(body, call.kind),
             root=prompt_root(team, body.prompt, body.prompt_cache_key or ""),
-            params=sampling(data),
+            params=sampling_options(data),
         )
         options = body.stream_options
         sink = CallerSink(
             req,
-            shape,
+            response_format,
             body.model,
             int(time.time()),
             bool(body.stream),
@@ -155,7 +160,7 @@
         self._start(call, sink)
         return None
 
-    def _plain(
+    def _serve_plain(
         self, req: Request, team: TeamId, service: str, kind: str
     ) -> Failure | None:
         body = read_json(req.content.read())
@@ -165,7 +170,9 @@
         if isinstance(call, Failure):
             return call
         if self._app.current.deployment.services[service].type != "plain":
-            return failed(Code.UNKNOWN_SERVICE, "not plain", "service", service)
+            return failed(
+                Code.UNKNOWN_SERVICE, "not a plain service", "service", service
+            )
         sink = CallerSink(req, PLAIN, "", int(time.time()), False, False)
         self._start(call, sink)
         return None
@@ -202,48 +209,48 @@
         if call.kind.idempotent:
             sink.on_gone = fut.cancel
         fut.addCallback(sink.end)
-        fut.addErrback(_failed, sink)
+        fut.addErrback(_fail_response, sink)
 
-    def _reread(
+    def _replay(
         self, req: Request, team: TeamId, request_id: RequestId
     ) -> Failure | None:
         after = _last_event_id(req)
         if isinstance(after, Failure):
             return after
         name = req.args.get(b"as", [b"completion"])[0].decode("latin-1")
-        if name not in _SHAPES:
+        if name not in _FORMATS:
             return failed(Code.UNKNOWN_FIELD_VALUE, field="as", value=name)
         sink = CallerSink(
             req,
-            _SHAPES[name],
+            _FORMATS[name],
             "",
             int(time.time()),
             name != "plain",
             True,
         )
         sink.opened(request_id)
-        fut = ensureDeferred(self._app.reread(team, request_id, after, sink))
+        fut = ensureDeferred(self._app.replay(team, request_id, after, sink))
         sink.on_gone = fut.cancel
         fut.addCallback(sink.end)
-        fut.addErrback(_failed, sink)
+        fut.addErrback(_fail_response, sink)
         return None
 
 
-def _failed(reason, sink: CallerSink) -> None:
-    """Ends a response whose task was cancelled or is at fault."""
+def _fail_response(reason, sink: CallerSink) -> None:
+    """Ends a response whose task was cancelled or raised an error."""
     if reason.check(CancelledError):
         return
     sink.end(failed(Code.OUTCOME_UNKNOWN, reason.type.__name__))
     reason.raiseException()
 
 
-def _finish(req: Request, body: bytes) -> None:
+def _send_json(req: Request, body: bytes) -> None:
     req.setHeader("Content-Type", "application/json")
     req.write(body)
     req.finish()
 
 
-def _default(kinds: dict[str, Kind]) -> str:
+def _default_kind(kinds: dict[str, Kind]) -> str:
     return next(name for name, kind in kinds.items() if kind.default)
 
 
@@ -260,7 +267,7 @@
     key = values[0].strip() if values else ""
     if not key and not kind.idempotent:
         return failed(Code.MISSING_IDEMPOTENCY_KEY, field=name)
-    if len(key) > _KEY_LIMIT:
+    if len(key) > _MAX_IDEMPOTENCY_KEY_CHARS:
         return failed(Code.UNKNOWN_FIELD_VALUE, "too long", name, key)
     return key
 
@@ -269,5 +276,5 @@
     name = "Last-Event-ID"
     text = (req.requestHeaders.getRawHeaders(name) or ["0"])[0]
     if not text.isdecimal():
-        return failed(Code.WRONG_TYPE, "not a number", name, text)
+        return failed(Code.WRONG_TYPE, "not a decimal number", name, text)
     return int(text)
--- a/magnolialug/measure/gatewayslopes.py
+++ b/magnolialug/measure/gatewayslopes.py
@@ -17,7 +17,7 @@
 from magnolialug.entry.costs import Costs
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.dispatch import Dispatch
-from magnolialug.entry.eventcutter import EventCutter
+from magnolialug.entry.eventsplitter import EventSplitter
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.entry.proberesults import ProbeResults
 from magnolialug.measure.slope import Slope, bytes_each, micros_each
@@ -168,7 +168,7 @@
 
 def cut_and_drop(data: bytes) -> None:
     """Cuts whole events out of a piece, as a resumable stream does."""
-    EventCutter().feed(data)
+    EventSplitter().feed(data)
 
 
 def _account() -> EndpointLedger:
--- a/magnolialug/measure/relay.py
+++ b/magnolialug/measure/relay.py
@@ -14,7 +14,7 @@
 )
 from magnolialug.entry.app import EntryApp
 from magnolialug.entry.call import PromptCall
-from magnolialug.entry.shapes import CHAT
+from magnolialug.entry.responseformats import CHAT
 from magnolialug.entry.sink import CallerSink
 from magnolialug.measure.slope import Slope, micros_each
 from magnolialug.policy.blocks import prompt_root
--- a/magnolialug/measure/slopes.py
+++ b/magnolialug/measure/slopes.py
@@ -19,7 +19,7 @@
 )
 from magnolialug.confstore import apply_text
 from magnolialug.entry.call import PromptCall
-from magnolialug.entry.claims import Claims
+from magnolialug.entry.claims import ClaimStore
 from magnolialug.events import Event, emit
 from magnolialug.measure.gatewayslopes import gateway_slopes
 from magnolialug.measure.relay import STATUS, Transport, relay_slopes
@@ -213,7 +213,7 @@
 def _kv_calls(base: Deployment) -> list[Slope]:
     clock = Clock()
     kv = KvStore(clock)
-    claims = Claims(kv, clock, Random(1), 86400.0)
+    claims = ClaimStore(kv, clock, Random(1), 86400.0)
     kind = base.services["booking"].kinds["book"]
     counts = {}
 
@@ -241,7 +241,7 @@
     async def booking(key: str) -> None:
         one = call(key)
         mine = claims.new_claim(one, "booking-1", _attempt(1))
-        held = await claims.take(one, mine, 0)
+        held = await claims.acquire(one, mine, 0)
         await claims.answered(one, held, "{}")
 
     ensureDeferred(booking("warm-up"))
--- a/tests/entry/test_evacuation.py
+++ b/tests/entry/test_evacuation.py
@@ -1,7 +1,7 @@
-"""Availability zones that are evacuated and taken back.
+"""Evacuation of availability zones, and its end.
 
-The pattern: a third of all endpoints may get nothing more within seconds,
-while requests wait, run and are repeated there.
+An evacuated zone, a third of all endpoints, must get no requests after a few
+seconds, while requests are queued, running and retried there.
 """
 
 import msgspec
@@ -28,13 +28,13 @@
 
 
 def evacuate(cluster, zone="a", value=b"{}"):
-    """Writes an order to evacuate a zone, and lets it be read."""
+    """Writes the entry that evacuates a zone, and lets gateways read it."""
     cluster.write(f"op/evacuate/{zone}", value)
     cluster.pass_time(0.5)
 
 
 class EvacuationTest(TestCase):
-    """An evacuated zone gets nothing, and is taken back."""
+    """An evacuated zone gets no requests until its evacuation ends."""
 
     def test_a_first_attempt_does_not_reach_an_evacuated_zone(self):
         cluster = two_zones()
@@ -43,7 +43,7 @@
             self.assertEqual(200, cluster.ask("/read/x", 0.1).last.status)
         self.assertEqual([], cluster.desks["i-desk1"].seen)
 
-    def test_a_zone_that_is_taken_back_gets_work_again(self):
+    def test_a_zone_whose_evacuation_ended_gets_requests_again(self):
         cluster = two_zones()
         evacuate(cluster)
         cluster.remove("op/evacuate/a")
@@ -52,7 +52,7 @@
             cluster.ask("/read/x", 0.1)
         self.assertNotEqual([], cluster.desks["i-desk1"].seen)
 
-    def test_what_runs_in_an_evacuated_zone_ends_in_peace(self):
+    def test_running_requests_in_an_evacuated_zone_are_finished(self):
         cluster = GatewayCluster(desks=1, engines=0)
         cluster.desks["i-desk1"].work_s = 2.0
         caller = cluster.send("/book/x")
@@ -62,7 +62,7 @@
         self.assertEqual(200, caller.last.status)
 
     def test_a_retry_does_not_reach_an_evacuated_zone(self):
-        """The first endpoint fails; the other one has been evacuated."""
+        """The first endpoint fails; the zone of the other one is evacuated."""
         cluster = two_zones()
         cluster.desks["i-desk2"].faults[:] = [Fault.ERROR] * 9
         evacuate(cluster)
@@ -70,7 +70,7 @@
         self.assertEqual([], cluster.desks["i-desk1"].seen)
 
     def test_a_prompt_that_waits_is_not_granted_an_evacuated_engine(self):
-        """It stands in the admission queues of the engines of both zones."""
+        """The prompt is in the admission queues of engines in both zones."""
         cluster = two_zones(engines=1)
         here, there = cluster.engines.values()
         here.gap_s = there.gap_s = 0.2
@@ -90,7 +90,7 @@
         self.assertEqual(before, len(here.seen))
         self.assertEqual([200] * 6, [c.last.status for c in callers])
 
-    def test_a_gateway_that_starts_during_an_evacuation_obeys_it(self):
+    def test_a_gateway_started_during_an_evacuation_applies_it(self):
         cluster = two_zones()
         evacuate(cluster)
         cluster.start("front-2", 2)
@@ -100,7 +100,7 @@
             cluster.ask("/read/x", 0.1, caller=cluster.caller(address))
         self.assertEqual([], cluster.desks["i-desk1"].seen)
 
-    def test_an_endpoint_that_is_listed_during_an_evacuation_gets_nothing(self):
+    def test_an_endpoint_registered_during_an_evacuation_gets_nothing(self):
         cluster = two_zones()
         evacuate(cluster)
         late = cluster.add_desk("a")
@@ -109,8 +109,8 @@
             cluster.ask("/read/x", 0.1)
         self.assertEqual([], late.seen)
 
-    def cut_off(self):
-        """Returns a cluster with a second gateway that is cut off."""
+    def with_disconnected_gateway(self):
+        """Returns a cluster whose second gateway cannot reach the service."""
         cluster = two_zones()
         cluster.start_behind(_PATH, "front-2", 2)
         cluster.pass_time(2)
@@ -118,8 +118,8 @@
         cluster.pass_time(2)
         return cluster
 
-    def ask_at_both(self, cluster):
-        """Sends requests to both gateways; returns the cut-off one's."""
+    def send_to_both(self, cluster):
+        """Sends requests to both gateways; returns the second one's callers."""
         callers = []
         for _ in range(8):
             cluster.ask("/read/x", 0.1)
@@ -127,33 +127,33 @@
             callers.append(cluster.ask("/read/x", 0.1, caller=caller))
         return callers
 
-    def test_a_gateway_that_is_cut_off_obeys_soon_too(self):
-        """Guards against work for a zone of whose evacuation only some know."""
-        cluster = self.cut_off()
+    def test_a_disconnected_gateway_applies_an_evacuation_of_its_peers(self):
+        """Guards against requests from a gateway that missed the evacuation."""
+        cluster = self.with_disconnected_gateway()
         evacuate(cluster)
-        self.ask_at_both(cluster)
+        self.send_to_both(cluster)
         desk = cluster.desks["i-desk1"]
         before = len(desk.seen)
-        callers = self.ask_at_both(cluster)
+        callers = self.send_to_both(cluster)
         self.assertEqual(before, len(desk.seen))
         self.assertEqual({200}, {caller.last.status for caller in callers})
 
-    def test_what_the_service_says_later_goes_before_what_others_know(self):
-        """Guards against a zone that stays evacuated for ever."""
-        cluster = self.cut_off()
+    def test_a_later_state_in_the_service_overrides_that_of_peers(self):
+        """Guards against a zone that stays evacuated after the evacuation."""
+        cluster = self.with_disconnected_gateway()
         evacuate(cluster)
-        self.ask_at_both(cluster)
+        self.send_to_both(cluster)
         cluster.remove("op/evacuate/a")
         cluster.net.heal(_PATH)
         cluster.pass_time(5)
-        callers = [self.ask_at_both(cluster) for _ in range(2)]
+        callers = [self.send_to_both(cluster) for _ in range(2)]
         desk = cluster.desks["i-desk1"]
-        cut_off = {caller.request_id for pair in callers for caller in pair}
+        request_ids = {caller.request_id for pair in callers for caller in pair}
         self.assertNotEqual(
-            set(), cut_off & {req.request_id for req in desk.seen}
+            set(), request_ids & {req.request_id for req in desk.seen}
         )
 
-    def test_an_order_outlasts_an_outage_of_the_service(self):
+    def test_an_evacuation_persists_through_a_service_outage(self):
         cluster = two_zones()
         evacuate(cluster)
         cluster.kv.faults.down = True
@@ -161,8 +161,8 @@
         cluster.ask("/read/x", 0.1)
         self.assertEqual([], cluster.desks["i-desk1"].seen)
 
-    def test_one_taken_back_during_an_outage_ends_with_it(self):
-        """The history is gone, so the removal is not told as a change."""
+    def test_an_evacuation_removed_during_an_outage_ends_after_it(self):
+        """The service dropped its history and does not report the removal."""
         cluster = two_zones()
         evacuate(cluster)
         cluster.kv.faults.down = True
@@ -181,9 +181,9 @@
 
 
 class WholeServiceTest(TestCase):
-    """No zone is left for a service."""
+    """All zones of a service are evacuated."""
 
-    def test_a_request_is_refused_at_once_and_told_when_to_return(self):
+    def test_a_request_is_refused_at_once_with_retry_after(self):
         cluster = GatewayCluster(desks=1, engines=0)
         evacuate(cluster)
         caller = cluster.ask("/book/x", 0.05)
@@ -193,9 +193,9 @@
 
 
 class RefusedOrderTest(TestCase):
-    """Orders that mean nothing change nothing."""
+    """Invalid evacuation entries have no effect."""
 
-    def test_an_unknown_zone_and_a_malformed_order_are_passed_over(self):
+    def test_an_unknown_zone_and_a_malformed_entry_are_ignored(self):
         cluster = two_zones()
         evacuate(cluster, "elsewhere")
         evacuate(cluster, "b", b"\xff")
@@ -204,7 +204,7 @@
             cluster.ask("/read/x", 0.1)
         self.assertNotEqual([], cluster.desks["i-desk2"].seen)
 
-    def test_the_others_stay_in_force(self):
+    def test_the_other_evacuations_stay_in_effect(self):
         cluster = two_zones()
         evacuate(cluster)
         evacuate(cluster, "elsewhere", msgspec.json.encode({}))
--- a/tests/entry/test_gateway.py
+++ b/tests/entry/test_gateway.py
@@ -1,4 +1,4 @@
-"""What the gateway passes on, and what it refuses."""
+"""Which requests the gateway forwards, and which it refuses."""
 
 from testtools import TestCase
 
@@ -7,7 +7,7 @@
 
 
 class RefusalTest(TestCase):
-    """Statuses for what is not passed on, in the order of the checks."""
+    """Statuses of refused requests, in the order of the checks."""
 
     CASES = (
         # what, path, options, status
@@ -59,12 +59,11 @@
             if status != 200:
                 self.assertEqual([], cluster.seen(), what)
 
-    def test_without_configuration_it_is_not_ready_and_says_not_run(self):
-        """A fresh process begins while the store is away.
+    def test_without_configuration_it_is_not_ready_and_answers_503(self):
+        """Guards against 404 for routes that exist.
 
-        Symptom: callers get 404 for routes that exist. Sequence: the store
-        is down, a process starts, a caller comes. Cause: no configuration
-        was taken for an empty one.
+        A process starts while the key-value service is down, and treats the
+        missing configuration as an empty one.
         """
         cluster = GatewayCluster()
         cluster.kv.faults.down = True
@@ -81,9 +80,9 @@
 
 
 class PassingTest(TestCase):
-    """What reaches the endpoint."""
+    """What the endpoint receives."""
 
-    def test_method_target_body_and_id_stay_as_they_are(self):
+    def test_method_target_body_and_id_are_forwarded_unchanged(self):
         cluster = GatewayCluster()
         caller = cluster.ask("/book/a%20b?q=1&q=2", body=b"\x00\xff body")
         (seen,) = cluster.seen()
@@ -93,11 +92,11 @@
         self.assertEqual(caller.request_id, seen.request_id)
         self.assertEqual("h.example", seen.headers["host"])
 
-    def test_what_the_system_says_to_endpoints_is_never_the_callers(self):
-        """A caller sends the system's own headers.
+    def test_internal_headers_from_callers_are_not_forwarded(self):
+        """Guards against a team that reads another team's cache.
 
-        Symptom: one team reads another's cache. Sequence: the caller names
-        another team and its salt. Cause: its headers were passed on.
+        A caller sends the internal headers with another team's name and
+        cache namespace, and the gateway forwards them.
         """
         names = (
             "X-Tenant-Id",
@@ -125,7 +124,7 @@
             len(seen.names), len({name.lower() for name in seen.names})
         )
 
-    def test_headers_of_one_connection_stay_on_it(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         cluster = GatewayCluster()
         cluster.ask(
             "/read/x",
@@ -135,7 +134,7 @@
         for name in ("connection", "x-mine", "te"):
             self.assertNotIn(name, seen.headers)
 
-    def test_the_time_that_is_left_is_the_smaller_of_the_two(self):
+    def test_the_deadline_is_the_smaller_of_caller_and_route(self):
         cluster = GatewayCluster()
         cluster.ask("/read/x", deadline_ms=1000)
         cluster.ask("/read/x", deadline_ms=60000)
@@ -181,7 +180,7 @@
             ran = sum(e.ran[caller.request_id] for e in group.values())
             self.assertEqual(1, ran, path)
 
-    def test_a_split_follows_its_weights_and_the_request(self):
+    def test_a_traffic_split_follows_its_weights(self):
         split = [
             {"service": "desk", "weight": 75},
             {"service": "llm", "weight": 25},
@@ -194,7 +193,7 @@
         self.assertEqual(80, len(cluster.seen()))
         self.assertTrue(8 <= engines <= 34, engines)
 
-    def test_requests_follow_each_other_on_one_connection(self):
+    def test_pipelined_requests_are_answered_on_one_connection(self):
         cluster = GatewayCluster()
         caller = cluster.caller()
         for _ in range(3):
@@ -204,11 +203,10 @@
         self.assertFalse(caller.closed)
 
     def test_a_smuggled_request_is_not_run(self):
-        """A body that looks like a request.
+        """Guards against request smuggling.
 
-        Symptom: an endpoint runs a request that nobody sent. Sequence: the
-        body holds a whole request. Cause: two readers end the body at
-        different places.
+        The body contains a complete request. If gateway and endpoint disagree
+        on where the body ends, the endpoint runs a request nobody sent.
         """
         cluster = GatewayCluster()
         inner = b"GET /read/inner HTTP/1.1\r\nX-Request-Id: evil\r\n\r\n"
@@ -217,9 +215,9 @@
 
 
 class TimeTest(TestCase):
-    """Callers that are slow, idle, or gone."""
+    """Callers that are slow, idle, or disconnected."""
 
-    def test_an_idle_connection_is_kept_for_its_time(self):
+    def test_an_idle_connection_is_kept_until_the_idle_limit(self):
         cluster = GatewayCluster()
         caller = cluster.ask("/read/x")
         cluster.pass_time(13)
@@ -227,12 +225,12 @@
         cluster.pass_time(3)
         self.assertTrue(caller.closed)
 
-    def test_a_longer_idle_time_holds_for_open_connections_too(self):
-        """The operator raises the idle time.
+    def test_a_raised_idle_limit_applies_to_open_connections(self):
+        """Guards against connections that close while they are reused.
 
-        Symptom: callers find kept connections closed under their requests.
-        Sequence: a connection is opened, the limit grows, the caller reuses
-        it within the new limit. Cause: the old limit was taken at the start.
+        A connection opens, the operator raises the idle limit, and the caller
+        reuses the connection within the new limit. The limit must not be
+        fixed when the connection opens.
         """
         cluster = GatewayCluster()
         caller = cluster.ask("/read/x")
@@ -241,14 +239,14 @@
         cluster.pass_time(30)
         self.assertFalse(caller.closed)
 
-    def test_slow_headers_are_ended(self):
+    def test_slow_headers_get_a_timeout(self):
         cluster = GatewayCluster()
         caller = cluster.caller()
         caller.pipe.write(b"GET /read/x HTTP/1.1\r\nHost: h")
         cluster.pass_time(5)
         self.assertEqual(408, caller.last.status)
 
-    def test_a_caller_that_leaves_stops_the_work(self):
+    def test_a_disconnected_caller_cancels_idempotent_requests_only(self):
         cluster = GatewayCluster()
         for path, stops in (("/check/x", True), ("/book/x", False)):
             for endpoint in cluster.endpoints():
@@ -260,7 +258,7 @@
             cut = [name for e in cluster.endpoints() for name in e.cut]
             self.assertEqual(stops, caller.request_id in cut, path)
 
-    def test_an_answer_comes_when_the_time_is_over(self):
+    def test_a_timeout_is_answered_at_the_deadline(self):
         cluster = GatewayCluster()
         for desk in cluster.desks.values():
             desk.work_s = 100.0
@@ -269,7 +267,7 @@
         self.assertNotIn("retry-after", caller.last.headers)
         self.assertTrue(caller.last.at < 0.3 + 0.3 + 0.1, caller.last.at)
 
-    def test_a_caller_that_does_not_read_holds_the_endpoint_back(self):
+    def test_a_caller_that_does_not_read_pauses_the_endpoint(self):
         cluster = GatewayCluster(engines=1)
         (engine,) = cluster.engines.values()
         engine.events = 50
--- a/tests/entry/test_gateway_members.py
+++ b/tests/entry/test_gateway_members.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave, lapse, die and return; planned stops."""
+"""Endpoints that drain, lapse, crash and return; planned gateway stops."""
 
 from testtools import TestCase
 from twisted.internet.defer import ensureDeferred
@@ -8,7 +8,7 @@
 
 
 class LeavingTest(TestCase):
-    """Endpoints that leave in order."""
+    """Endpoints that leave on purpose."""
 
     def test_a_draining_endpoint_gets_no_new_work(self):
         cluster = GatewayCluster(desks=2, engines=0)
@@ -19,8 +19,8 @@
             self.assertEqual(200, cluster.ask("/read/x", 0.05).last.status)
         self.assertEqual([], leaving.seen)
 
-    def test_one_whose_entry_is_removed_gets_no_new_work(self):
-        """Some endpoints never say that they drain."""
+    def test_an_endpoint_whose_entry_is_removed_gets_no_new_work(self):
+        """Some endpoints leave without announcing that they drain."""
         cluster = GatewayCluster(desks=2, engines=0)
         leaving = cluster.desks["i-desk1"]
         cluster.remove("servers/i-desk1")
@@ -29,7 +29,7 @@
             self.assertEqual(200, cluster.ask("/read/x", 0.05).last.status)
         self.assertEqual([], leaving.seen)
 
-    def test_what_is_under_way_there_is_finished(self):
+    def test_running_requests_at_a_leaving_endpoint_are_finished(self):
         cluster = GatewayCluster(desks=1, engines=0)
         (desk,) = cluster.desks.values()
         desk.work_s = 0.5
@@ -39,12 +39,12 @@
         cluster.pass_time(1)
         self.assertEqual(200, caller.last.status)
 
-    def test_leaving_is_learned_when_the_store_forgets_its_history(self):
-        """The store drops its history while an endpoint leaves.
+    def test_draining_is_noticed_after_the_service_dropped_its_history(self):
+        """Guards against new work for an endpoint that drains.
 
-        Symptom: a leaving endpoint goes on getting work. Sequence: watches
-        hear nothing, the endpoint drains, the history is dropped and the
-        watches are cut. Cause: the watch went on from a point after it.
+        Watches report no changes while the endpoint starts draining; then the
+        service drops its history and ends the watches. A watch that resumes
+        after the change would never report it.
         """
         cluster = GatewayCluster(desks=2, engines=0)
         leaving = cluster.desks["i-desk1"]
@@ -59,10 +59,10 @@
 
 
 class LapseTest(TestCase):
-    """Entries that run out while the store is away."""
+    """Entries that expire while the key-value service is down."""
 
     def lapsed(self, seconds):
-        """Returns a cluster whose entries lapsed in an outage."""
+        """Returns a cluster whose entries expired during an outage."""
         cluster = GatewayCluster(desks=2, engines=0)
         cluster.pass_time(1)
         cluster.kv.faults.down = True
@@ -72,13 +72,12 @@
         cluster.remove("servers/i-desk2")
         return cluster
 
-    def test_endpoints_are_kept_until_they_can_be_back(self):
-        """All entries lapse in an outage of the store.
+    def test_lapsed_endpoints_are_kept_until_they_can_register_again(self):
+        """Guards against refusing every request after an outage.
 
-        Symptom: every request is refused as soon as the store returns.
-        Sequence: the store is down, entries run out, it returns, endpoints
-        write theirs again within two seconds. Cause: a lapsed entry was
-        taken for an endpoint that is gone.
+        All entries expire while the key-value service is down; endpoints
+        write them again within two seconds of its return. Until then an
+        expired entry does not mean that the endpoint is gone.
         """
         cluster = self.lapsed(5)
         self.assertEqual(200, cluster.ask("/read/x", 0.1).last.status)
@@ -90,8 +89,8 @@
         cluster.pass_time(4)
         self.assertEqual(200, cluster.ask("/read/x", 0.1).last.status)
 
-    def test_a_removal_is_believed_after_a_brief_silence(self):
-        """Guards against work for an endpoint that left around a silence."""
+    def test_a_removal_applies_after_a_brief_outage(self):
+        """Guards against work for an endpoint that left during an outage."""
         cluster = GatewayCluster(desks=2, engines=0)
         cluster.pass_time(1)
         cluster.kv.faults.down = True
@@ -104,8 +103,8 @@
             self.assertEqual(200, cluster.ask("/read/x", 0.05).last.status)
         self.assertEqual([], cluster.desks["i-desk1"].seen)
 
-    def test_one_whose_entry_is_back_stays(self):
-        """Guards against a doubt that outlasts the entry's return."""
+    def test_an_endpoint_that_registered_again_is_kept(self):
+        """Guards against dropping an endpoint whose entry has returned."""
         cluster = self.lapsed(5)
         cluster.kv.faults.down = False
         cluster.pass_time(1.2)
@@ -115,7 +114,7 @@
         cluster.pass_time(4)
         self.assertEqual(2, len(cluster.gateway.directory.peers))
 
-    def test_who_is_not_back_by_then_is_gone(self):
+    def test_an_endpoint_that_did_not_register_again_is_dropped(self):
         cluster = self.lapsed(5)
         cluster.kv.faults.down = False
         cluster.pass_time(1.2)
@@ -128,9 +127,9 @@
 
 
 class FailingTest(TestCase):
-    """Endpoints that die without a word."""
+    """Endpoints that fail without leaving."""
 
-    def test_a_dead_endpoint_is_left_alone_and_tried_again(self):
+    def test_a_dead_endpoint_is_avoided_and_probed_again(self):
         cluster = GatewayCluster(desks=2, engines=0)
         dead = cluster.desks["i-desk1"]
         del cluster.net.servers[dead.address]
@@ -144,13 +143,12 @@
             cluster.ask("/read/x", 0.1)
         self.assertTrue(dead.seen)
 
-    def test_a_restarted_endpoint_takes_its_address_over(self):
-        """An endpoint restarts; its old entry lapses three heartbeats later.
+    def test_a_restarted_endpoint_takes_over_its_address(self):
+        """Guards against 421 refusals for seconds after a restart.
 
-        Symptom: requests are turned away with 421 for seconds. Sequence: the
-        new start registers under a new id at the same address, both entries
-        stand, requests go to the old one. Cause: the old one was believed
-        until its entry lapsed.
+        The restarted endpoint registers under a new id at the same address,
+        and the old entry expires only three heartbeats later. Meanwhile
+        requests must not go to the old id.
         """
         cluster = GatewayCluster(desks=1, engines=0)
         old = cluster.desks["i-desk1"]
@@ -162,12 +160,11 @@
             self.assertEqual(200, cluster.ask("/book/x", 0.1).last.status)
         self.assertEqual(5, len(new.seen))
 
-    def test_when_all_look_dead_they_are_still_tried(self):
-        """This process is cut off from all endpoints for a moment.
+    def test_suspected_endpoints_are_tried_when_none_is_healthy(self):
+        """Guards against refusals that continue after a network failure.
 
-        Symptom: refusals go on after the network is back. Sequence: every
-        connection fails, all endpoints are suspected. Cause: suspicion was
-        taken for certainty.
+        For a moment all connections fail and every endpoint is suspected.
+        Suspicion alone must not exclude all endpoints.
         """
         cluster = GatewayCluster(desks=2, engines=0)
         servers = dict(cluster.net.servers)
@@ -178,21 +175,20 @@
         cluster.net.servers.update(servers)
         self.assertEqual(200, cluster.ask("/read/x", 0.2).last.status)
 
-    def test_a_grey_endpoint_gets_less_work(self):
-        """An endpoint fails half of what it is asked.
+    def test_a_partially_failing_endpoint_gets_fewer_requests(self):
+        """Guards against an endpoint that fails while others are idle.
 
-        Symptom: half of the calls to one endpoint fail though others are
-        idle. Sequence: it passes health checks and answers 500. Cause: only
-        connections were looked at.
+        The endpoint passes health checks but answers half of its requests with
+        500. Health must count failed responses, not connections alone.
         """
         cluster = GatewayCluster(desks=2, engines=0)
-        grey = cluster.desks["i-desk1"]
-        grey.faults = [Fault.ERROR] * 200
+        failing = cluster.desks["i-desk1"]
+        failing.faults = [Fault.ERROR] * 200
         for _ in range(60):
             cluster.ask("/book/x", 0.05)
-        self.assertLess(len(grey.seen), 20)
+        self.assertLess(len(failing.seen), 20)
 
-    def test_the_store_away_stops_nothing(self):
+    def test_requests_are_served_while_the_service_is_down(self):
         cluster = GatewayCluster()
         cluster.kv.faults.down = True
         cluster.kv.end_watches()
@@ -206,12 +202,12 @@
     """A planned stop of the gateway."""
 
     def stop(self, cluster):
-        """Begins a stop; returns the list that gets its result."""
+        """Starts a stop; returns the list that receives its result."""
         left = []
         ensureDeferred(cluster.gateway.stop()).addCallback(left.append)
         return left
 
-    def test_it_is_not_ready_at_once_and_serves_until_it_is_noticed(self):
+    def test_it_is_unready_at_once_and_serves_until_traffic_stops(self):
         cluster = GatewayCluster()
         left = self.stop(cluster)
         cluster.pass_time(0.1)
@@ -224,7 +220,7 @@
         cluster.pass_time(3)
         self.assertEqual([0], left)
 
-    def test_a_stream_under_way_is_finished(self):
+    def test_a_running_stream_is_finished(self):
         cluster = GatewayCluster()
         for engine in cluster.engines.values():
             engine.events, engine.gap_s = 20, 0.25
@@ -235,12 +231,11 @@
         self.assertTrue(caller.last.whole)
         self.assertEqual([0], left)
 
-    def test_late_work_is_refused_as_not_run(self):
-        """A kept connection brings a long request late in a stop.
+    def test_a_late_request_is_refused_as_not_run(self):
+        """Guards against a stream that is cut by the kill.
 
-        Symptom: a stream is cut at the kill. Sequence: a stop begins, four
-        seconds later a caller sends a prompt on a connection it had kept.
-        Cause: it was taken though the grace could not cover it.
+        Four seconds into a stop, a caller sent a prompt on a kept connection.
+        It was accepted although the grace period was too short for it.
         """
         cluster = GatewayCluster()
         for engine in cluster.engines.values():
@@ -267,7 +262,7 @@
         cluster.pass_time(1.5)
         self.assertTrue(caller.closed)
 
-    def test_a_half_read_request_is_read_and_answered(self):
+    def test_a_partly_received_request_is_read_and_answered(self):
         cluster = GatewayCluster()
         caller = cluster.caller()
         head = (
@@ -284,9 +279,9 @@
 
 
 class ConfigurationTest(TestCase):
-    """Configurations that come while requests do."""
+    """Configuration changes while requests are served."""
 
-    def test_a_new_key_and_a_taken_one(self):
+    def test_a_new_key_is_accepted_and_a_removed_one_refused(self):
         cluster = GatewayCluster()
         teams = [{"name": "team-a", "apiKeys": ["key-new"]}]
         cluster.configure(config(2, tenants=teams))
@@ -304,7 +299,7 @@
         self.assertEqual(5, cluster.gateway.routes.version)
         self.assertEqual(404, cluster.ask("/book/x").last.status)
 
-    def test_a_change_during_an_outage_is_in_force_after_it(self):
+    def test_a_change_after_an_outage_is_applied(self):
         cluster = GatewayCluster()
         cluster.kv.faults.refusing = True
         cluster.pass_time(12)
@@ -313,7 +308,7 @@
         cluster.pass_time(1.8)
         self.assertEqual(2, cluster.gateway.routes.version)
 
-    def test_what_is_under_way_keeps_the_route_it_came_by(self):
+    def test_a_running_request_keeps_its_route(self):
         cluster = GatewayCluster(desks=1)
         (desk,) = cluster.desks.values()
         desk.work_s = 1.0
--- a/tests/entry/test_intake.py
+++ b/tests/entry/test_intake.py
@@ -1,4 +1,4 @@
-"""What a caller may send, on a virtual clock."""
+"""Limits on requests, tested with a virtual clock."""
 
 import json
 
@@ -14,7 +14,7 @@
 HEAD = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
 
 
-class Wire(StringTransport):
+class HalfCloseTransport(StringTransport):
     """A transport that can be half-closed."""
 
     def loseWriteConnection(self):
@@ -34,38 +34,40 @@
             lambda: app.current.deployment.limits,
             self.clock,
         )
-        self.wire = Wire()
+        self.transport = HalfCloseTransport()
         self.channel = site.buildProtocol(None)
-        self.channel.makeConnection(self.wire)
+        self.channel.makeConnection(self.transport)
 
-    def code(self) -> int | None:
-        body = self.wire.value().partition(b"\r\n\r\n")[2]
+    def error_code(self) -> int | None:
+        body = self.transport.value().partition(b"\r\n\r\n")[2]
         return json.loads(body)["error"]["code"] if body else None
 
-    def test_slow_body(self):
-        """A body comes drop by drop.
+    def test_slow_body_is_refused(self):
+        """Guards against slow bodies that hold connections and memory.
 
-        Symptom: connections and memory are held for ever. Cause: each drop
-        keeps the connection from being idle; the whole body has a limit.
+        Each byte keeps the connection from counting as idle, so the time for
+        the whole body has a limit.
         """
         self.channel.dataReceived(HEAD + b"Content-Length: 100\r\n\r\n")
         for _ in range(9):
             self.channel.dataReceived(b"x")
             self.clock.advance(1)
-        self.assertIsNone(self.code())
+        self.assertIsNone(self.error_code())
         self.clock.advance(1)
-        self.assertEqual(Code.BODY_TOO_SLOW.value, self.code())
+        self.assertEqual(Code.BODY_TOO_SLOW.value, self.error_code())
         self.assertEqual(0, self.cluster.engines["model-1"].runs)
 
     def test_chunked_body_over_the_limit(self):
         self.channel.dataReceived(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
         for _ in range(3):
             self.channel.dataReceived(b"f4240\r\n" + b"x" * 1_000_000 + b"\r\n")
-        self.assertEqual(Code.BODY_TOO_LARGE.value, self.code())
+        self.assertEqual(Code.BODY_TOO_LARGE.value, self.error_code())
 
-    def test_refused_connection_is_closed_after_a_moment(self):
+    def test_refused_connection_is_closed_after_a_delay(self):
         self.channel.dataReceived(HEAD + b"Content-Length: 1, 2\r\n\r\n")
-        self.assertEqual(Code.AMBIGUOUS_HEADER.value, self.code())
+        self.assertEqual(Code.AMBIGUOUS_HEADER.value, self.error_code())
         self.channel.dataReceived(HEAD * 3)
         self.clock.advance(1)
-        self.assertTrue(self.wire.disconnected or self.wire.disconnecting)
+        self.assertTrue(
+            self.transport.disconnected or self.transport.disconnecting
+        )
--- a/tests/entry/test_lapsed_registrations.py
+++ b/tests/entry/test_lapsed_registrations.py
@@ -1,8 +1,8 @@
-"""Gateways whose registrations lapse while they serve.
+"""Gateways whose registrations expire while they serve.
 
-The pattern: the key-value service is away for longer than a lease lasts, or
-turns some gateways away; endpoints turn cold, and all gateways share what a
-cold endpoint tolerates.
+The key-value service is down for longer than a lease, or cannot be reached by
+some gateways. All gateways share the request rate that a cold endpoint allows,
+so each must know how many gateways there are.
 """
 
 from testtools import TestCase
@@ -11,23 +11,23 @@
 
 VMS = ("front-1", "front-2", "front-3")
 COLD_S = 3.0
-PER_S = 12.0
-# The bound that the platform sets: half as much again, and five.
-MOST_PER_S = PER_S * 1.5 + 5
+COLD_PER_S = 12.0
+# The platform's bound: the rate plus half, plus five requests.
+MAX_COLD_PER_S = COLD_PER_S * 1.5 + 5
 OUTAGES_S = (10.0, 20.0, 40.0)
-# A gateway that has died is counted for lease and doubt, and no longer.
-_FORGOTTEN_S = 50.0
+# A dead gateway counts until its lease and the uncertainty period are over.
+_DROPPED_AFTER_S = 50.0
 
 
 def operator():
     """Returns a configuration whose plain endpoints have cold starts."""
     base = config()
-    desk = {**base["services"][0], "coldStartS": COLD_S, "coldPerS": PER_S}
+    desk = {**base["services"][0], "coldStartS": COLD_S, "coldPerS": COLD_PER_S}
     return {**base, "services": [desk, *base["services"][1:]]}
 
 
 class LapsedFleet:
-    """Three gateways, some of them behind paths that can be cut."""
+    """Three gateways, some behind network paths that can be cut."""
 
     def __init__(self, paths=()):
         self.cluster = GatewayCluster(
@@ -40,8 +40,8 @@
             self.gateways.append(gateway)
         self.cluster.pass_time(4)
 
-    def counts(self, seconds):
-        """Lets time pass; returns the least count of each gateway."""
+    def min_counts(self, seconds):
+        """Lets time pass; returns the lowest entry count of each gateway."""
         least = [gateway.directory.entries for gateway in self.gateways]
         until = self.net.seconds() + seconds
         while self.net.seconds() < until:
@@ -50,8 +50,8 @@
             least = [min(pair) for pair in zip(least, now, strict=True)]
         return least
 
-    def busiest_second_of_a_cold_endpoint(self):
-        """Turns an endpoint cold; returns the most it gets in a second."""
+    def max_requests_per_s_to_a_cold_endpoint(self):
+        """Makes an endpoint cold; returns its most requests in a second."""
         desk = self.cluster.desks["i-desk1"]
         arrivals = []
         desk.on_arrival = lambda req: arrivals.append(self.net.seconds())
@@ -68,10 +68,10 @@
 
 
 class LapsedRegistrationsTest(TestCase):
-    """Guards against gateways that take themselves for the only one."""
+    """Guards against gateways that count only themselves."""
 
     def outage(self, fleet, seconds):
-        """Takes the service away for all gateways."""
+        """Stops the key-value service for some time."""
         fleet.cluster.kv.faults.down = True
         fleet.cluster.pass_time(seconds)
         fleet.cluster.kv.faults.down = False
@@ -80,47 +80,47 @@
         for seconds in OUTAGES_S:
             fleet = LapsedFleet()
             self.outage(fleet, seconds)
-            self.assertEqual([3, 3, 3], fleet.counts(12), seconds)
+            self.assertEqual([3, 3, 3], fleet.min_counts(12), seconds)
 
-    def test_each_counts_all_where_brief_outages_prevent_every_renewal(self):
+    def test_each_counts_all_while_brief_outages_prevent_renewals(self):
         fleet = LapsedFleet()
         for _ in range(4):
             self.outage(fleet, 3.5)
-            self.assertEqual([3, 3, 3], fleet.counts(0.6))
-        self.assertEqual([3, 3, 3], fleet.counts(12))
+            self.assertEqual([3, 3, 3], fleet.min_counts(0.6))
+        self.assertEqual([3, 3, 3], fleet.min_counts(12))
 
-    def test_a_cold_endpoint_gets_no_more_after_an_outage_than_before(self):
+    def test_a_cold_endpoint_gets_no_more_than_its_rate_after_an_outage(self):
         fleet = LapsedFleet()
         self.outage(fleet, 20.0)
         fleet.cluster.pass_time(0.5)
-        most = fleet.busiest_second_of_a_cold_endpoint()
-        self.assertLess(most, MOST_PER_S)
-        self.assertGreater(most, PER_S / 2)
+        most = fleet.max_requests_per_s_to_a_cold_endpoint()
+        self.assertLess(most, MAX_COLD_PER_S)
+        self.assertGreater(most, COLD_PER_S / 2)
 
-    def test_one_that_is_served_counts_those_that_are_turned_away(self):
-        """The others cannot renew, and go on serving."""
+    def test_a_connected_gateway_counts_the_disconnected_ones(self):
+        """The others cannot renew their leases but continue to serve."""
         paths = [("10.9.9.1", 1), ("10.9.9.2", 1)]
         fleet = LapsedFleet(paths)
         for path in paths:
             fleet.net.cut(path)
-        self.assertEqual([3, 3, 3], fleet.counts(25))
+        self.assertEqual([3, 3, 3], fleet.min_counts(25))
         for path in paths:
             fleet.net.heal(path)
-        self.assertEqual([3, 3, 3], fleet.counts(25))
+        self.assertEqual([3, 3, 3], fleet.min_counts(25))
 
     def test_all_are_registered_again_soon_after_an_outage(self):
-        """A starting gateway knows only of those that are registered."""
+        """A gateway that starts can only count registered gateways."""
         fleet = LapsedFleet()
         self.outage(fleet, 20.0)
         fleet.cluster.pass_time(1.5)
         fleet.gateways = [fleet.cluster.start("front-4", 4)]
         fleet.cluster.pass_time(0.5)
-        self.assertEqual([4], fleet.counts(0.1))
+        self.assertEqual([4], fleet.min_counts(0.1))
 
-    def test_one_that_has_died_is_forgotten(self):
-        """Guards against a bound that is kept by using ever less of it."""
+    def test_a_dead_gateway_is_not_counted_any_more(self):
+        """Guards against a rate share that shrinks with each dead gateway."""
         fleet = LapsedFleet()
         dead = fleet.gateways.pop()
         dead._entries._task.cancel()
-        fleet.cluster.pass_time(_FORGOTTEN_S)
-        self.assertEqual([2, 2], fleet.counts(0.1))
+        fleet.cluster.pass_time(_DROPPED_AFTER_S)
+        self.assertEqual([2, 2], fleet.min_counts(0.1))
--- a/tests/entry/test_long_configuration.py
+++ b/tests/entry/test_long_configuration.py
@@ -1,7 +1,7 @@
-"""Configurations that take long to arrive on a gateway's link.
+"""Configurations that take seconds to arrive over a slow link.
 
-The pattern: a deployment with thousands of routes, and gateways whose links
-need seconds for them, beside gateways that have them at once.
+The deployment has thousands of routes. Gateways on slow links need seconds to
+read them, while other gateways have them at once.
 """
 
 from testtools import TestCase
@@ -11,8 +11,8 @@
 
 _PATH = ("10.9.9.1", 1)
 _ROUTES = 1500
-# The configuration takes 2.2 s at this rate, in bytes a second.
-_RATE = 150_000
+# The configuration takes 2.2 s at this rate.
+_LINK_BYTES_PER_S = 150_000
 _ARRIVAL_S = 2.2
 
 
@@ -26,13 +26,13 @@
 
 
 class LongConfigurationTest(TestCase):
-    """A gateway behind a slow link, and what the operator writes."""
+    """A gateway behind a slow link, and changes by the operator."""
 
     def setUp(self):
         super().setUp()
         self.cluster = GatewayCluster(desks=1, engines=0)
         self.net = self.cluster.net
-        self.link = self.net.slow_link(_PATH, _RATE)
+        self.link = self.net.slow_link(_PATH, _LINK_BYTES_PER_S)
 
     def start(self):
         """Starts a gateway behind the slow link."""
@@ -55,10 +55,8 @@
         self.link.carried = 0
         return gateway
 
-    def test_a_gateway_starts_though_the_configuration_arrives_for_seconds(
-        self,
-    ):
-        """Guards against gateways on slow links that never serve."""
+    def test_a_gateway_starts_while_the_configuration_takes_seconds(self):
+        """Guards against gateways on slow links that never become ready."""
         self.cluster.configure(long_config(2))
         gateway = self.start()
         self.cluster.pass_time(_ARRIVAL_S + 0.5)
@@ -66,7 +64,7 @@
         self.assertTrue(gateway.ready())
 
     def test_a_long_change_is_read_once(self):
-        """Guards against an answer that is thrown away while it arrives."""
+        """Guards against discarding a response that is still arriving."""
         gateway = self.started()
         for version, moment_s in enumerate((0.0, 0.2, 0.4, 0.6), start=2):
             self.cluster.pass_time(moment_s)
@@ -74,10 +72,12 @@
             self.cluster.configure(long_config(version))
             self.cluster.pass_time(_ARRIVAL_S + 0.5)
             self.assertEqual(version, gateway.routes.version)
-            self.assertLess(self.link.carried, 1.2 * _ARRIVAL_S * _RATE)
+            self.assertLess(
+                self.link.carried, 1.2 * _ARRIVAL_S * _LINK_BYTES_PER_S
+            )
 
-    def test_two_long_changes_in_a_row_are_in_force_within_the_bound(self):
-        """Guards against a gateway that falls further behind each change."""
+    def test_two_long_changes_in_a_row_are_applied_within_the_bound(self):
+        """Guards against a delay that grows with each change."""
         gateway = self.started()
         self.cluster.configure(long_config(2))
         self.cluster.pass_time(1)
@@ -85,8 +85,8 @@
         self.cluster.pass_time(2 * _ARRIVAL_S + BOUNDS.config_s)
         self.assertEqual(3, gateway.routes.version)
 
-    def test_a_long_answer_that_falls_silent_is_asked_for_again(self):
-        """Guards against a wait for the rest of an answer that is lost."""
+    def test_a_long_response_that_stalls_is_requested_again(self):
+        """Guards against waiting for the rest of a lost response."""
         gateway = self.started()
         self.cluster.configure(long_config(2))
         self.cluster.pass_time(1)
@@ -94,8 +94,8 @@
         self.cluster.pass_time(_ARRIVAL_S + 2)
         self.assertEqual(2, gateway.routes.version)
 
-    def test_one_that_was_cut_off_reads_the_newest_change_alone(self):
-        """Guards against an answer that grows with the changes missed."""
+    def test_a_reconnected_gateway_reads_only_the_newest_change(self):
+        """Guards against a response that grows with the missed changes."""
         gateway = self.started_with_many_routes()
         self.net.cut(_PATH)
         self.cluster.pass_time(3)
@@ -106,10 +106,14 @@
         self.net.heal(_PATH)
         self.cluster.pass_time(_ARRIVAL_S + 1)
         self.assertEqual(5, gateway.routes.version)
-        self.assertLess(self.link.carried, 1.2 * _ARRIVAL_S * _RATE)
+        self.assertLess(self.link.carried, 1.2 * _ARRIVAL_S * _LINK_BYTES_PER_S)
 
-    def test_one_that_was_cut_off_learns_of_an_evacuation_that_is_over(self):
-        """Guards against cold endpoints that only the missed changes tell."""
+    def test_a_reconnected_gateway_sees_an_evacuation_that_has_ended(self):
+        """Guards against missing cold endpoints.
+
+        Only the changes made while the gateway was disconnected show that the
+        zone was evacuated, so its endpoints may have turned cold.
+        """
         gateway = self.started_with_many_routes()
         self.net.cut(_PATH)
         self.cluster.pass_time(3)
@@ -126,10 +130,8 @@
         self.cluster.pass_time(_ARRIVAL_S + 1)
         self.assertEqual([frozenset("a"), frozenset()], returned)
 
-    def test_an_endpoint_that_leaves_is_known_before_the_change_has_arrived(
-        self,
-    ):
-        """Guards against registrations that wait behind a long value."""
+    def test_a_removal_applies_before_a_long_change_has_arrived(self):
+        """Guards against registrations delayed by a long value."""
         gateway = self.started_with_many_routes()
         left, stays = self.cluster.add_desk(), self.cluster.add_desk()
         self.cluster.pass_time(1)
@@ -144,10 +146,8 @@
         self.assertNotIn(left.instance, gateway.directory.peers)
         self.assertIn(stays.instance, gateway.directory.peers)
 
-    def test_an_endpoint_that_returns_is_kept_when_the_change_has_arrived(
-        self,
-    ):
-        """Guards against an older change that undoes one that overtook it."""
+    def test_an_endpoint_that_returns_is_kept_after_a_long_change(self):
+        """Guards against an older change that overwrites a newer one."""
         gateway = self.started_with_many_routes()
         desk = next(iter(self.cluster.desks.values()))
         self.cluster.configure(long_config(3))
@@ -161,8 +161,8 @@
             self.assertIn(desk.instance, gateway.directory.peers)
         self.assertEqual(3, gateway.routes.version)
 
-    def test_an_evacuation_is_obeyed_before_the_change_has_arrived(self):
-        """Guards against evacuations that wait behind a long value."""
+    def test_an_evacuation_applies_before_a_long_change_has_arrived(self):
+        """Guards against evacuations delayed by a long value."""
         gateway = self.started_with_many_routes()
         self.cluster.configure(long_config(3))
         self.cluster.pass_time(0.5)
--- a/tests/entry/test_poison_requests.py
+++ b/tests/entry/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""A request under which endpoints end, and which comes again."""
+"""Requests that crash endpoints and are sent again."""
 
 from random import Random
 
@@ -8,69 +8,71 @@
 from tests.gatewaycluster import GatewayCluster
 
 VMS = ("front-1", "front-2", "front-3", "front-4")
-HARMFUL = b"ends whoever begins it"
-# An endpoint begins what it got after this long, and ends; of any other
-# request the first word comes a moment later.
-BEGINS_S = 0.1
+CRASHING_BODY = b"ends whoever begins it"
+# An endpoint starts a request this long after its arrival, and crashes if the
+# request is a crashing one. The first output of any other request comes at
+# WORK_S.
+START_S = 0.1
 WORK_S = 0.11
-# A new start is listed this much later, at the same address.
-BACK_S = 2.5
-# What the platform allows: after a request has ended three endpoints, and this
-# long after the third, it may be sent to endpoints three times more.
-ENDED = 3
-TOLD_S = 3.0
-SENT_AFTER = 3
+# A crashed endpoint is registered again this much later at the same address.
+RESTART_S = 2.5
+# The platform's bound: after a request has crashed three endpoints, and this
+# long after the third crash, it may be sent to endpoints three more times.
+CRASH_LIMIT = 3
+REACTION_S = 3.0
+MAX_SENT_AFTER = 3
 
 
-class Ward:
-    """A cluster whose endpoints end when they begin a harmful request.
+class CrashSetup:
+    """A cluster whose endpoints crash when they start a crashing request.
 
     Attributes:
-      sent: when and where a harmful request arrived at an endpoint.
-      ended: when and which endpoints ended under one.
+      sent: time and endpoint of each arrival of a crashing request.
+      crashed: time and endpoint of each crash.
+      crashing: the bodies of crashing requests.
     """
 
     def __init__(self, desks=0, engines=6, vms=VMS):
         self.cluster = GatewayCluster(desks, engines, vms=vms)
         self.random = Random(1)
         self.sent = []
-        self.ended = []
-        self.harmful = {HARMFUL}
+        self.crashed = []
+        self.crashing = {CRASHING_BODY}
         for endpoint in self.cluster.endpoints():
             self.watch(endpoint)
 
     @property
     def now(self):
-        """The time."""
+        """The current time in seconds."""
         return self.cluster.net.seconds()
 
     def watch(self, endpoint):
-        """Lets an endpoint end under harmful requests."""
+        """Makes an endpoint crash on crashing requests."""
         endpoint.work_s = WORK_S
 
         def arrived(req):
-            if req.body in self.harmful:
+            if req.body in self.crashing:
                 self.sent.append((self.now, endpoint.instance))
-                self.cluster.net.callLater(BEGINS_S, begun, req)
+                self.cluster.net.callLater(START_S, started, req)
 
-        def begun(req):
+        def started(req):
             if any(conn.current is req for conn in endpoint.open):
-                self.end(endpoint)
+                self.crash(endpoint)
 
         endpoint.on_arrival = arrived
 
-    def end(self, endpoint):
-        """Ends an endpoint; a successor takes its address later."""
-        self.ended.append((self.now, endpoint.instance))
+    def crash(self, endpoint):
+        """Crashes an endpoint; a successor takes over its address later."""
+        self.crashed.append((self.now, endpoint.instance))
         net = self.cluster.net
         del net.servers[endpoint.address]
         for conn in list(endpoint.open):
             conn.current = None
             conn.transport.loseConnection()
-        net.callLater(BACK_S, self.start_again, endpoint)
+        net.callLater(RESTART_S, self.restart, endpoint)
 
-    def start_again(self, endpoint):
-        """Starts an endpoint under a new id, at the same address."""
+    def restart(self, endpoint):
+        """Starts an endpoint under a new id at the same address."""
         cluster = self.cluster
         engine = bool(endpoint.row["models"])
         successor = cluster.add_engine() if engine else cluster.add_desk()
@@ -82,35 +84,36 @@
         cluster.remove(f"servers/{endpoint.instance}")
         self.watch(successor)
 
-    def comes(self, path, seconds, every_s, body=HARMFUL, vms=4):
-        """Sends a request again and again, each time to some gateway."""
+    def send_repeatedly(
+        self, path, seconds, every_s, body=CRASHING_BODY, vms=4
+    ):
+        """Sends a request repeatedly, each time to a random gateway."""
         until = self.now + seconds
         while self.now < until:
             number = 1 + self.random.randrange(vms)
             caller = self.cluster.caller((f"10.0.0.{number}", 80))
             self.cluster.ask(path, every_s, caller=caller, body=body)
 
-    def sent_late(self):
-        """Returns what was sent long after the third endpoint had ended."""
-        if len(self.ended) < ENDED:
+    def sent_after_limit(self):
+        """Returns the arrivals later than REACTION_S after the third crash."""
+        if len(self.crashed) < CRASH_LIMIT:
             return []
-        since = self.ended[ENDED - 1][0] + TOLD_S
+        since = self.crashed[CRASH_LIMIT - 1][0] + REACTION_S
         return [row for row in self.sent if row[0] > since]
 
 
 class RepeatedTest(TestCase):
-    """The same request comes again, at any gateway and under new ids."""
-
-    def test_it_is_not_sent_on_once_three_endpoints_have_ended(self):
-        """One request comes for twenty seconds and ends every engine.
-
-        Symptom: all engines end one after the other, so do their successors,
-        and whatever else is under way there ends with them. Sequence: a
-        gateway places the request; the engine ends as it begins to run it;
-        the gateway sends it to a second one; the caller asks again elsewhere
-        under a new id. Cause: gateways knew requests by ids only, and nothing
-        that an engine's end told outlived the request or left the gateway.
-        Shown by line 2008: the same digest at every engine that ended.
+    """The same request is sent to any gateway under new request ids."""
+
+    def test_it_is_blocked_after_three_endpoints_crashed(self):
+        """Guards against one request that crashes every endpoint in turn.
+
+        A gateway retries the request at another endpoint after a crash, and
+        the caller repeats it at other gateways under new ids. Requests must
+        be identified by their digest, not by id, and crashes must be
+        remembered beyond the request and shared between gateways. Other
+        requests running at the endpoints would fail too. Log line 2008 shows
+        the same digest at every endpoint that crashed.
         """
         for path, kinds in (
             ("/check/x", {"engines": 6}),
@@ -118,106 +121,108 @@
             ("/read/x", {"desks": 6, "engines": 0}),
             ("/book/x", {"desks": 6, "engines": 0}),
         ):
-            ward = Ward(**kinds)
-            ward.comes(path, seconds=20, every_s=0.25)
-            self.assertGreater(len(ward.ended), 0, path)
-            self.assertLessEqual(len(ward.sent_late()), SENT_AFTER, path)
-
-    def test_lost_datagrams_do_not_let_it_through(self):
-        ward = Ward()
+            setup = CrashSetup(**kinds)
+            setup.send_repeatedly(path, seconds=20, every_s=0.25)
+            self.assertGreater(len(setup.crashed), 0, path)
+            self.assertLessEqual(
+                len(setup.sent_after_limit()), MAX_SENT_AFTER, path
+            )
+
+    def test_it_is_blocked_despite_lost_datagrams(self):
+        setup = CrashSetup()
         random = Random(2)
-        ward.cluster.net.loses_datagram = lambda *_: random.random() < 0.5
-        ward.comes("/check/x", seconds=20, every_s=0.25)
-        self.assertLessEqual(len(ward.sent_late()), SENT_AFTER)
-
-    def test_gateways_that_cannot_talk_learn_it_from_what_is_written(self):
-        ward = Ward()
-        ward.cluster.net.loses_datagram = lambda sender, to: True
-        ward.comes("/check/x", seconds=8, every_s=0.25)
-        before = len(ward.sent)
-        ward.comes("/check/x", seconds=12, every_s=0.25)
-        self.assertEqual(before, len(ward.sent))
-
-    def test_it_is_held_after_two_ends_and_barred_after_a_third(self):
-        """The third endpoint is only risked when a common fault is over."""
-        ward = Ward()
-        ward.comes("/check/x", seconds=50, every_s=0.5)
-        self.assertEqual(2, len(ward.ended))
-        ward.comes("/check/x", seconds=30, every_s=0.5)
-        self.assertEqual(3, len(ward.ended))
-        ward.comes("/check/x", seconds=70, every_s=0.5)
-        self.assertEqual(3, len(ward.ended))
-
-    def test_its_caller_is_told_at_once_and_not_asked_back(self):
-        ward = Ward()
-        ward.comes("/check/x", seconds=5, every_s=0.25)
-        caller = ward.cluster.ask("/check/x", 0.02, body=HARMFUL)
+        setup.cluster.net.loses_datagram = lambda *_: random.random() < 0.5
+        setup.send_repeatedly("/check/x", seconds=20, every_s=0.25)
+        self.assertLessEqual(len(setup.sent_after_limit()), MAX_SENT_AFTER)
+
+    def test_gateways_without_peer_messages_read_the_stored_quarantine(self):
+        setup = CrashSetup()
+        setup.cluster.net.loses_datagram = lambda sender, to: True
+        setup.send_repeatedly("/check/x", seconds=8, every_s=0.25)
+        before = len(setup.sent)
+        setup.send_repeatedly("/check/x", seconds=12, every_s=0.25)
+        self.assertEqual(before, len(setup.sent))
+
+    def test_it_is_held_after_two_crashes_and_barred_after_the_third(self):
+        """The third attempt waits until a common fault would be over."""
+        setup = CrashSetup()
+        setup.send_repeatedly("/check/x", seconds=50, every_s=0.5)
+        self.assertEqual(2, len(setup.crashed))
+        setup.send_repeatedly("/check/x", seconds=30, every_s=0.5)
+        self.assertEqual(3, len(setup.crashed))
+        setup.send_repeatedly("/check/x", seconds=70, every_s=0.5)
+        self.assertEqual(3, len(setup.crashed))
+
+    def test_its_caller_is_refused_at_once_without_retry_after(self):
+        setup = CrashSetup()
+        setup.send_repeatedly("/check/x", seconds=5, every_s=0.25)
+        caller = setup.cluster.ask("/check/x", 0.02, body=CRASHING_BODY)
         self.assertEqual(502, caller.last.status)
         self.assertTrue(caller.last.whole)
         self.assertNotIn("retry-after", caller.last.headers)
         self.assertIn(b"315", caller.last.body)
 
-    def test_what_waits_at_an_endpoint_is_called_back(self):
-        """The verdict comes while the request waits at one more endpoint.
+    def test_a_request_queued_at_an_endpoint_is_withdrawn(self):
+        """Guards against a further crash after the request is barred.
 
-        Symptom: a further engine ends after the verdict. Cause: only new
-        sends were refused; what an engine had not begun stayed there.
+        The request is barred while it is queued at one more endpoint. It must
+        be withdrawn there, in addition to refusing new attempts.
         """
-        ward = Ward(desks=6, engines=0)
-        ward.comes("/book/x", seconds=2, every_s=0.25)
-        self.assertEqual(2, len(ward.ended))
-        ward.cluster.pass_time(61)
-        sent = len(ward.sent)
-        ward.comes("/book/x", seconds=0.08, every_s=0.02)
-        ward.cluster.pass_time(5)
-        self.assertEqual(4, len(ward.sent) - sent)
-        self.assertEqual(3, len(ward.ended))
-
-    def test_all_gateways_start_again(self):
-        """All processes are killed after the verdict.
-
-        Symptom: three further endpoints end after each restart. Cause: what
-        was known of the request lived in the processes only.
+        setup = CrashSetup(desks=6, engines=0)
+        setup.send_repeatedly("/book/x", seconds=2, every_s=0.25)
+        self.assertEqual(2, len(setup.crashed))
+        setup.cluster.pass_time(61)
+        sent = len(setup.sent)
+        setup.send_repeatedly("/book/x", seconds=0.08, every_s=0.02)
+        setup.cluster.pass_time(5)
+        self.assertEqual(4, len(setup.sent) - sent)
+        self.assertEqual(3, len(setup.crashed))
+
+    def test_the_quarantine_survives_a_restart_of_all_gateways(self):
+        """Guards against three more crashes after each restart.
+
+        All gateways are killed after the request is barred. The quarantine
+        must not exist in the memory of the processes only.
         """
-        ward = Ward()
+        setup = CrashSetup()
         for seconds in (5, 61):
-            ward.comes("/check/x", seconds=seconds, every_s=0.5)
-        ward.comes("/check/x", seconds=5, every_s=0.25)
-        self.assertEqual(3, len(ward.ended))
-        net = ward.cluster.net
+            setup.send_repeatedly("/check/x", seconds=seconds, every_s=0.5)
+        setup.send_repeatedly("/check/x", seconds=5, every_s=0.25)
+        self.assertEqual(3, len(setup.crashed))
+        net = setup.cluster.net
         for number, vm in enumerate(VMS, 1):
-            ward.cluster.gateways[number - 1].handle = None
+            setup.cluster.gateways[number - 1].handle = None
             del net.servers[(f"10.0.0.{number}", 80)]
-            ward.cluster.start(vm, number)
-        ward.cluster.pass_time(1)
-        ward.comes("/check/x", seconds=5, every_s=0.25)
-        self.assertEqual(3, len(ward.ended))
+            setup.cluster.start(vm, number)
+        setup.cluster.pass_time(1)
+        setup.send_repeatedly("/check/x", seconds=5, every_s=0.25)
+        self.assertEqual(3, len(setup.crashed))
 
 
 class OthersTest(TestCase):
-    """What only resembles a harmful request, or was near one, is served."""
+    """Requests that only resemble or accompany a crashing one are served."""
 
     def test_other_bodies_paths_and_teams_are_served(self):
-        ward = Ward()
-        ward.comes("/check/x", seconds=5, every_s=0.25)
-        ward.harmful.clear()
+        setup = CrashSetup()
+        setup.send_repeatedly("/check/x", seconds=5, every_s=0.25)
+        setup.crashing.clear()
         for path, options in (
             ("/check/x", {"body": b"another"}),
-            ("/check/y", {"body": HARMFUL}),
-            ("/check/x", {"body": HARMFUL, "key": "key-b"}),
+            ("/check/y", {"body": CRASHING_BODY}),
+            ("/check/x", {"body": CRASHING_BODY, "key": "key-b"}),
         ):
-            caller = ward.cluster.ask(path, **options)
+            caller = setup.cluster.ask(path, **options)
             self.assertEqual(200, caller.last.status, (path, options))
             self.assertTrue(caller.last.whole)
 
-    def test_endpoints_that_end_of_themselves_bar_nothing_that_is_common(self):
-        """All plain endpoints lose power at once, again and again.
+    def test_a_common_request_is_not_barred_by_unrelated_crashes(self):
+        """Guards against barring a request that many callers send.
 
-        Symptom: a path that everybody reads is refused for good. Cause: the
-        same read was under way at three endpoints that ended.
+        All plain endpoints lose power at once, several times, while the same
+        read is running at three or more of them.
         """
-        ward = Ward(desks=4, engines=0)
-        cluster = ward.cluster
+        setup = CrashSetup(desks=4, engines=0)
+        cluster = setup.cluster
         for _ in range(4):
             for _ in range(3):
                 cluster.ask("/read/x", 0.2)
@@ -226,19 +231,19 @@
             cluster.pass_time(0.05)
             for desk in list(cluster.desks.values()):
                 if desk.address in cluster.net.servers and desk.open:
-                    ward.end(desk)
+                    setup.crash(desk)
             cluster.pass_time(4)
         caller = cluster.ask("/read/x")
         self.assertEqual(200, caller.last.status)
 
-    def test_streams_that_were_under_way_are_resumed(self):
-        """Engines end under streams that have had events.
+    def test_streams_with_events_are_resumed_and_not_barred(self):
+        """Guards against barring a stream that two engines had started well.
 
-        Symptom: a stream is refused that two engines had begun well. Cause:
-        whatever an ended engine had was taken for what ended it.
+        Engines crash while they run streams that already had events. Such a
+        stream must not count as the cause of the crash.
         """
-        ward = Ward(vms=("front-1",))
-        cluster = ward.cluster
+        setup = CrashSetup(vms=("front-1",))
+        cluster = setup.cluster
         for engine in cluster.engines.values():
             engine.events, engine.gap_s = 60, 0.05
         cluster.send("/check/x", body=b"long", deadline_ms=9000)
@@ -246,26 +251,26 @@
             cluster.pass_time(0.4)
             busy = [e for e in cluster.engines.values() if e.open]
             for engine in busy:
-                ward.end(engine)
+                setup.crash(engine)
         cluster.pass_time(5)
         again = cluster.ask("/check/x", 5, body=b"long", deadline_ms=9000)
         self.assertEqual(200, again.last.status)
         self.assertTrue(again.last.whole)
 
-    def test_answers_that_break_off_bar_nothing(self):
-        """An endpoint closes on one request in two, and lives.
+    def test_aborted_responses_bar_no_request(self):
+        """Guards against taking a closed connection for a crash.
 
-        Symptom: a sound request is refused. Cause: a closed connection was
-        taken for the end of the endpoint.
+        An endpoint closes the connection on one request in two but keeps
+        running. The requests must not be barred.
         """
         for fault in (Fault.RESET_BEFORE, Fault.CLOSE_MIDWAY):
-            ward = Ward(desks=4, engines=0, vms=("front-1",))
-            for desk in ward.cluster.desks.values():
+            setup = CrashSetup(desks=4, engines=0, vms=("front-1",))
+            for desk in setup.cluster.desks.values():
                 desk.faults = [fault] * 20
             for _ in range(12):
-                ward.cluster.ask("/book/x", 0.5, body=b"sound")
-            for desk in ward.cluster.desks.values():
+                setup.cluster.ask("/book/x", 0.5, body=b"sound")
+            for desk in setup.cluster.desks.values():
                 desk.faults = []
-            ward.cluster.pass_time(5)
-            caller = ward.cluster.ask("/book/x", body=b"sound")
+            setup.cluster.pass_time(5)
+            caller = setup.cluster.ask("/book/x", body=b"sound")
             self.assertEqual(200, caller.last.status, fault)
--- a/tests/entry/test_registry.py
+++ b/tests/entry/test_registry.py
@@ -1,4 +1,4 @@
-"""What the registry believes of entries that go missing and come back."""
+"""Registry entries that are missing after an outage and return."""
 
 import msgspec
 from testtools import TestCase
@@ -12,7 +12,7 @@
 _KEY = "servers/i-1"
 
 
-def entry(revision, is_there=True):
+def entry(revision, is_present=True):
     """Returns an endpoint's entry, or its removal."""
     row = {
         "service": "desk",
@@ -24,12 +24,12 @@
         "coldRemainingMs": 0,
         "sequence": 1,
     }
-    value = msgspec.json.encode(row) if is_there else None
+    value = msgspec.json.encode(row) if is_present else None
     return KvEntry(_KEY, value, revision)
 
 
 class RegistryTest(TestCase):
-    """One endpoint, and a service that was away for long."""
+    """One endpoint, after a long outage of the key-value service."""
 
     def setUp(self):
         super().setUp()
@@ -40,9 +40,9 @@
         self.registry.lost()
         self.clock.advance(10)
         self.registry.back(10.0)
-        self.registry.changed(entry(2, is_there=False))
+        self.registry.changed(entry(2, is_present=False))
 
-    def test_a_missing_entry_is_doubted_for_two_seconds(self):
+    def test_a_missing_entry_is_dropped_after_two_seconds(self):
         self.clock.advance(1.9)
         self.registry.tick()
         self.assertEqual(1, len(self.directory.peers))
@@ -50,8 +50,8 @@
         self.registry.tick()
         self.assertEqual({}, self.directory.peers)
 
-    def test_an_endpoint_that_is_listed_again_stays(self):
-        """Guards against a doubt that outlasts the entry's return."""
+    def test_an_endpoint_that_is_registered_again_stays(self):
+        """Guards against dropping an endpoint whose entry has returned."""
         self.clock.advance(2.1)
         self.registry.snapshot([entry(3)])
         self.registry.tick()
--- a/tests/entry/test_removed_while_cut_off.py
+++ b/tests/entry/test_removed_while_cut_off.py
@@ -1,22 +1,22 @@
-"""Endpoints that leave while a gateway is cut off from the key-value service.
+"""Endpoints removed while a gateway cannot reach the key-value service.
 
-The pattern: the service goes on serving everybody else; an endpoint that never
-says that it drains leaves, and its entry is removed.
+The service continues to serve everyone else. An endpoint leaves without
+announcing that it drains, and its entry is removed.
 """
 
 from testtools import TestCase
 
 from tests.gatewaycluster import GatewayCluster
 
-# A process is held to what it could know this long after its path is back.
-_IN_TOUCH_S = 3.0
+# A gateway must have caught up this long after its path is restored.
+_CATCH_UP_S = 3.0
 _CUT_S = 12.0
 _PATH = ("10.9.9.1", 1)
-_CUT_OFF = ("10.0.0.9", 80)
+_DISCONNECTED = ("10.0.0.9", 80)
 
 
-class CutOffCluster:
-    """A gateway that is cut off from the service, and one that is not."""
+class DisconnectedGatewayCluster:
+    """One gateway whose path to the service can be cut, and one other."""
 
     def __init__(self):
         self.cluster = GatewayCluster(desks=2, engines=0)
@@ -24,58 +24,59 @@
         self.cluster.start_behind(_PATH, "front-9", 9)
         self.cluster.pass_time(1)
 
-    def cut(self, seconds, removed=(), forgets=False):
+    def cut(self, seconds, removed=(), drops_history=False):
         """Cuts the path for some time, while entries are removed."""
         self.net.cut(_PATH)
         self.cluster.pass_time(seconds / 2)
         for desk in removed:
             self.cluster.remove(f"servers/{desk.instance}")
-        if forgets:
+        if drops_history:
             self.cluster.kv.forget()
         self.cluster.pass_time(seconds / 2)
         self.net.heal(_PATH)
 
     def ask(self, seconds):
-        """Sends requests to the gateway that was cut off for some time."""
+        """Sends requests to the disconnected gateway for some time."""
         until = self.net.seconds() + seconds
         while self.net.seconds() < until:
-            caller = self.cluster.caller(_CUT_OFF)
+            caller = self.cluster.caller(_DISCONNECTED)
             self.cluster.ask("/read/x", 0.02, caller=caller)
 
 
 class RemovedWhileCutOffTest(TestCase):
     """Guards against work for an endpoint long after its entry is removed."""
 
-    def arrivals_when_in_touch(self, cut_s, wait_s=0.0, forgets=False):
-        """Returns how many requests reach a removed endpoint too late."""
-        cut_off = CutOffCluster()
-        cut_off.cluster.pass_time(wait_s)
-        removed = cut_off.cluster.desks["i-desk1"]
-        cut_off.cut(cut_s, [removed], forgets)
-        cut_off.ask(_IN_TOUCH_S)
+    def late_arrivals(self, cut_s, wait_s=0.0, drops_history=False):
+        """Returns how many requests reach a removed endpoint too late.
+
+        Args:
+          cut_s: how long the path is cut.
+          wait_s: time before the cut.
+          drops_history: whether the service drops its history meanwhile.
+        """
+        disconnected = DisconnectedGatewayCluster()
+        disconnected.cluster.pass_time(wait_s)
+        removed = disconnected.cluster.desks["i-desk1"]
+        disconnected.cut(cut_s, [removed], drops_history)
+        disconnected.ask(_CATCH_UP_S)
         before = len(removed.seen)
-        cut_off.ask(2)
+        disconnected.ask(2)
         return len(removed.seen) - before
 
-    def test_a_removed_endpoint_gets_nothing_once_the_path_is_long_back(self):
-        """A path can come back at any moment between two attempts."""
-        late = [
-            self.arrivals_when_in_touch(_CUT_S + step * 0.15)
-            for step in range(14)
-        ]
+    def test_a_removed_endpoint_gets_nothing_after_the_catch_up_time(self):
+        """The path can return at any moment between two connection attempts."""
+        late = [self.late_arrivals(_CUT_S + step * 0.15) for step in range(14)]
         self.assertEqual([0] * 14, late)
 
-    def test_the_same_where_the_service_has_dropped_its_history(self):
-        """The changes since the cut began are answered with 410."""
+    def test_the_same_after_the_service_dropped_its_history(self):
+        """The service answers 410 to the query for changes since the cut."""
         late = [
-            self.arrivals_when_in_touch(_CUT_S + step * 0.15, forgets=True)
+            self.late_arrivals(_CUT_S + step * 0.15, drops_history=True)
             for step in range(14)
         ]
         self.assertEqual([0] * 14, late)
 
-    def test_one_removed_behind_silent_connections_gets_nothing_either(self):
-        """Open connections fall silent for good while new ones work."""
-        late = [
-            self.arrivals_when_in_touch(0.01, step * 0.1) for step in range(10)
-        ]
+    def test_the_same_when_open_connections_stop_carrying_data(self):
+        """Open connections carry nothing any more while new ones work."""
+        late = [self.late_arrivals(0.01, step * 0.1) for step in range(10)]
         self.assertEqual([0] * 10, late)
--- a/tests/entry/test_same_id.py
+++ b/tests/entry/test_same_id.py
@@ -1,4 +1,4 @@
-"""Endpoints and stores that start again under the id that they had."""
+"""Endpoints and stores that restart under the same id."""
 
 from loguru import logger
 from testtools import TestCase
@@ -12,12 +12,12 @@
 from tests.entry.test_unanswered_commands import NEVER_S
 from tests.gatewaycluster import GatewayCluster, config
 
-FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
-OPERATIONS = {"name": "later", "maxConnections": 40}
+FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_009_000
+LATER_SERVICE = {"name": "later", "maxConnections": 40}
 
 
-def lines_of(case):
-    """Returns a list that grows by the log lines of a test."""
+def capture_log_lines(case):
+    """Returns a list that collects the log lines of a test."""
     lines = []
     events._bounds = LogBounds()
     sink = logger.add(lines.append, format="{message}")
@@ -25,43 +25,43 @@
     return lines
 
 
-def born(cluster, endpoint, born_ms=FIRST):
-    """Tells when an endpoint was started."""
+def set_start_time(cluster, endpoint, born_ms=FIRST_START_MS):
+    """Sets the start time in an endpoint's reports and entry."""
     endpoint.born_ms = born_ms
     cluster.relist(endpoint, born=born_ms)
     cluster.pass_time(0.3)
 
 
 class StartAgainTest(TestCase):
-    """What was believed of an endpoint ends with its start."""
+    """State known of an endpoint is dropped when it restarts."""
 
     def started(self, engines=1):
-        """Returns a cluster and an engine that has read a prompt."""
+        """Returns a cluster and an engine that has processed a prompt."""
         cluster = GatewayCluster(desks=0, engines=engines)
         cluster.pass_time(4)
         for engine in cluster.engines.values():
-            born(cluster, engine)
+            set_start_time(cluster, engine)
         cluster.ask("/draft/x", parts="aa:9000,o:2000")
         return cluster, next(iter(cluster.engines.values()))
 
     def peer(self, cluster, engine):
-        """Returns what the gateway knows of an engine."""
+        """Returns the gateway's state of an engine."""
         return cluster.gateway.directory.peers[engine.instance]
 
     def state(self, cluster, engine, *parts):
-        """Returns what the engine's owner tells of it."""
-        asked = QueriedEndpoint(engine.instance, "/m/1")
-        told = cluster.gateway.owners.ledger_service.answer(
-            LoadQuery("x", 1, (asked,), parts)
+        """Returns the load state that the engine's owner reports."""
+        query = QueriedEndpoint(engine.instance, "/m/1")
+        reply = cluster.gateway.owners.ledger_service.answer(
+            LoadQuery("x", 1, (query,), parts)
         )
-        return told.states[0]
+        return reply.states[0]
 
-    def test_its_cache_load_and_health_are_forgotten(self):
-        """An engine starts again under its id, empty.
+    def test_cache_load_and_health_of_the_earlier_start_are_dropped(self):
+        """Guards against prompts sent to an engine for parts it has lost.
 
-        Symptom: prompts go where their parts were and are read whole there,
-        while others wait behind them. Cause: only an id told two starts
-        apart.
+        An engine restarts under its id with an empty cache. If starts are
+        distinguished by id only, the engine recomputes whole prompts while
+        others wait behind them.
         """
         cluster, engine = self.started()
         part = Part("aa", 9000)
@@ -70,7 +70,7 @@
         self.assertEqual(1, peer.load.leading("/m/1", prompt))
         self.assertEqual(1, self.state(cluster, engine, part).found)
         peer.health.broke(cluster.net.seconds())
-        cluster.start_again(engine, SECOND)
+        cluster.start_again(engine, SECOND_START_MS)
         cluster.pass_time(0.3)
         peer = self.peer(cluster, engine)
         self.assertEqual(0, peer.load.leading("/m/1", prompt))
@@ -79,71 +79,71 @@
         self.assertTrue(peer.sound(cluster.net.seconds()))
         self.assertEqual(200, cluster.ask("/draft/x").last.status)
 
-    def test_its_report_tells_before_its_entry(self):
+    def test_a_report_shows_a_restart_before_the_entry(self):
         cluster, engine = self.started()
-        cluster.start_again(engine, SECOND, told=False)
+        cluster.start_again(engine, SECOND_START_MS, told=False)
         cluster.write("op/version/m", {"model": "m", "version": 2})
         cluster.pass_time(0.5)
         peer = self.peer(cluster, engine)
-        self.assertEqual(SECOND, peer.listed.born_ms)
+        self.assertEqual(SECOND_START_MS, peer.listed.born_ms)
         cluster.pass_time(3)
         self.assertEqual(2, engine.version)
 
-    def test_orders_are_counted_anew(self):
-        """An engine that has taken weights twice starts again.
+    def test_rollout_commands_are_numbered_anew(self):
+        """Guards against an engine that refuses every rollout command.
 
-        Symptom: it keeps old weights, and each order is refused. Cause: the
-        orders named as many as its earlier start had accepted.
+        An engine that has accepted two commands restarts. If commands go on
+        counting from those of the earlier start, the engine refuses them and
+        keeps old weights.
         """
         cluster, engine = self.started()
         for version in (2, 3):
             cluster.write("op/version/m", {"model": "m", "version": version})
             cluster.pass_time(3)
-        cluster.start_again(engine, SECOND)
+        cluster.start_again(engine, SECOND_START_MS)
         cluster.write("op/version/m", {"model": "m", "version": 4})
         cluster.pass_time(3)
         self.assertEqual(4, engine.version)
 
-    def test_word_of_the_earlier_start_is_not_taken(self):
-        """Another entry's report crosses the restart.
+    def test_load_reports_of_the_earlier_start_are_ignored(self):
+        """Guards against treating an empty engine as busy and full of parts.
 
-        Symptom: an empty engine is believed busy, and to hold parts. Cause:
-        reports named an engine without its start.
+        Another entry's load report is under way when the engine restarts.
+        Reports must name the start of the engine, not its id alone.
         """
         cluster, engine = self.started()
-        cluster.start_again(engine, SECOND)
+        cluster.start_again(engine, SECOND_START_MS)
         cluster.pass_time(0.3)
         part = Part("bb", 9000)
         before = self.state(cluster, engine, part)
-        self.tell(cluster, engine, part, FIRST, 1)
+        self.report_work(cluster, engine, part, FIRST_START_MS, 1)
         self.assertEqual(before, self.state(cluster, engine, part))
-        self.tell(cluster, engine, part, SECOND, 2)
+        self.report_work(cluster, engine, part, SECOND_START_MS, 2)
         after = self.state(cluster, engine, part)
         self.assertEqual((1, 50_000), (after.found, after.held))
 
-    def tell(self, cluster, engine, part, born_ms, number):
-        """Tells the engine's owner of another entry's work at a start of it."""
+    def report_work(self, cluster, engine, part, born_ms, number):
+        """Reports work of another entry at one start of an engine."""
         name = engine.instance
         share = WorkShare(name, (0, 50_000), 50_000, 9, 10, 10, born_ms)
         placement = Placement(name, "/m/1", (part,), born_ms)
         work = LoadReport("front-2.x", number, (share,), (placement,))
         cluster.gateway.owners.ledger_service.record(work)
 
-    def test_an_old_entry_does_not_bring_the_earlier_start_back(self):
+    def test_an_old_entry_does_not_restore_the_earlier_start(self):
         cluster, engine = self.started()
-        cluster.start_again(engine, SECOND)
+        cluster.start_again(engine, SECOND_START_MS)
         cluster.pass_time(0.3)
-        cluster.relist(engine, born=FIRST)
+        cluster.relist(engine, born=FIRST_START_MS)
         cluster.pass_time(0.3)
         peer = self.peer(cluster, engine)
-        self.assertEqual(SECOND, peer.listed.born_ms)
+        self.assertEqual(SECOND_START_MS, peer.listed.born_ms)
 
-    def test_calls_at_the_earlier_start_end(self):
-        """An engine goes dark and starts again; its connections stay silent.
+    def test_requests_at_the_earlier_start_are_ended(self):
+        """Guards against callers that wait until their deadline.
 
-        Symptom: callers wait for their deadline. Sequence: the engine loses
-        power, nothing closes the connections, its entry names a new start.
-        Cause: what was under way stayed with the start that had ended.
+        An engine loses power, nothing closes its connections, and its entry
+        names a new start. Requests sent to the earlier start must end.
         """
         cluster, engine = self.started()
         engine.work_s = NEVER_S
@@ -153,30 +153,30 @@
         self.assertEqual(1, peer.running)
         for conn in engine.open:
             conn.transport.silent = True
-        cluster.start_again(engine, SECOND)
+        cluster.start_again(engine, SECOND_START_MS)
         cluster.pass_time(0.6)
         self.assertEqual(502, caller.last.status)
 
-    def test_a_store_that_starts_again_is_empty(self):
+    def test_the_index_of_a_restarted_store_is_empty(self):
         cluster = GatewayCluster(desks=0, engines=1)
         store = cluster.add_store()
-        store.born_ms = FIRST
+        store.born_ms = FIRST_START_MS
         cluster.pass_time(3)
         cluster.ask("/draft/x", parts="aa:9000,o:2000", seconds=2)
         (poll,) = cluster.gateway.prefix_cache.watch.polls.values()
         index = poll.index
         self.assertTrue(index.parts)
         store.parts.clear()
-        store.born_ms = SECOND
+        store.born_ms = SECOND_START_MS
         cluster.pass_time(1)
         self.assertEqual({}, index.parts)
 
 
 class AddressTest(TestCase):
-    """Two endpoints whose entries name one address."""
+    """Two endpoints whose entries have the same address."""
 
     def replaced(self):
-        """Returns a cluster in which a new endpoint has another's address."""
+        """Returns a cluster where a new endpoint has an old one's address."""
         cluster = GatewayCluster(desks=1, engines=0)
         old = cluster.desks["i-desk1"]
         new = EndpointStandin(cluster.net, "i-new")
@@ -184,20 +184,19 @@
         return cluster, old, new
 
     def served(self, cluster, new):
-        """Returns how many of ten requests reached the new endpoint."""
+        """Returns how many of ten requests reached the given endpoint."""
         before = len(new.ran)
         for _ in range(10):
             self.assertEqual(200, cluster.ask("/read/x", 0.1).last.status)
         return len(new.ran) - before
 
-    def test_a_late_heartbeat_takes_no_address_back(self):
-        """The last heartbeat of a dead endpoint is carried out late.
+    def test_a_late_heartbeat_does_not_take_an_address_back(self):
+        """Guards against a healthy endpoint that never gets work again.
 
-        Symptom: a sound endpoint gets no work for the rest of its life.
-        Sequence: an endpoint dies, its entry lapses, a new one starts at its
-        address, the old one's entry is written once more. Cause: whichever
-        entry came last was believed to have the address, and the other one
-        was given up for good.
+        An endpoint dies, its entry expires, and a new one starts at its
+        address. Then the last heartbeat of the old one is applied late and
+        writes its entry again. The last written entry must not own the address
+        for good.
         """
         cluster, old, new = self.replaced()
         cluster.write("servers/i-new", old.row)
@@ -211,8 +210,8 @@
         cluster.pass_time(0.3)
         self.assertGreater(self.served(cluster, new), 2)
 
-    def test_who_answers_at_an_address_has_it(self):
-        """A fresh process reads both entries, the dead one's written last."""
+    def test_the_endpoint_that_answers_at_an_address_owns_it(self):
+        """A new gateway reads both entries; the dead one's is written last."""
         cluster, old, new = self.replaced()
         cluster.remove("servers/i-desk1")
         cluster.write("servers/i-new", old.row)
@@ -225,7 +224,7 @@
         self.assertGreater(len(new.ran), 2)
         self.assertFalse(fresh.directory.peers["i-new"].gone)
 
-    def test_one_that_moves_is_found_at_its_new_address(self):
+    def test_an_endpoint_that_moves_is_found_at_its_new_address(self):
         cluster, old, _ = self.replaced()
         there = ("10.1.0.77", 8080)
         cluster.net.servers[there] = old
@@ -235,15 +234,15 @@
 
 
 class ForeignEntryTest(TestCase):
-    """Entries that no endpoint has written."""
+    """Registry entries that no endpoint wrote."""
 
-    def test_they_hurt_nobody_and_are_logged_once_a_change(self):
-        """Another writer puts rows under the endpoints' prefix.
+    def test_foreign_entries_are_ignored_and_logged_once_a_change(self):
+        """Guards against foreign entries that take over an endpoint's address.
 
-        Symptom: a sound endpoint loses its address to a service that nobody
-        knows, and each look at the registry fills the log.
+        Another writer puts entries under the endpoints' prefix. They must not
+        fill the log at each read of the registry either.
         """
-        lines = lines_of(self)
+        lines = capture_log_lines(self)
         cluster = GatewayCluster(desks=1, engines=0)
         row = cluster.desks["i-desk1"].row
         missing = {k: v for k, v in row.items() if k != "sequence"}
@@ -271,8 +270,8 @@
         refused = [line for line in lines if "ENTRY_REFUSED" in line]
         self.assertEqual(len(foreign), len(refused))
 
-    def test_a_changed_one_is_logged_again(self):
-        lines = lines_of(self)
+    def test_a_changed_foreign_entry_is_logged_again(self):
+        lines = capture_log_lines(self)
         cluster = GatewayCluster(desks=1, engines=0)
         for value in (b"\xff", b"{}"):
             cluster.write("servers/i-odd", value)
@@ -280,7 +279,7 @@
         refused = [line for line in lines if "ENTRY_REFUSED" in line]
         self.assertEqual(2, len(refused))
 
-    def test_one_over_an_endpoints_own_entry_names_no_endpoint(self):
+    def test_a_foreign_value_in_an_endpoints_entry_removes_it(self):
         cluster = GatewayCluster(desks=2, engines=0)
         cluster.write("servers/i-desk1", b"{}")
         cluster.pass_time(0.5)
@@ -289,13 +288,13 @@
         cluster.pass_time(0.5)
         self.assertIn("i-desk1", cluster.gateway.directory.peers)
 
-    def test_a_service_that_is_named_later_has_its_endpoints_then(self):
+    def test_endpoints_of_a_service_configured_later_are_used_then(self):
         cluster = GatewayCluster(desks=1, engines=0)
         row = {**cluster.desks["i-desk1"].row, "address": "10.1.0.99:8080"}
         cluster.write("servers/i-later", {**row, "service": "later"})
         cluster.pass_time(0.5)
         self.assertNotIn("i-later", cluster.gateway.directory.peers)
-        services = [*config()["services"], OPERATIONS]
+        services = [*config()["services"], LATER_SERVICE]
         cluster.configure(config(2, services=services))
         cluster.pass_time(0.5)
         self.assertIn("i-later", cluster.gateway.directory.peers)
