--- a/tests/entry/test_watch_client.py
+++ b/tests/entry/test_watch_client.py
@@ -1,8 +1,8 @@
-"""One watch over all keys, and how often it is asked anew.
+"""The watch over all keys, and how many calls it makes.
 
-The pattern: 68 machines start, or are started again one after the other, and
-38 endpoints register; ten keys a second change for some seconds. The service
-counts each call, and each change woke every machine.
+68 machines start, or restart one after the other, and 38 endpoints register:
+ten keys a second change for some seconds. The service counts each call, and
+without pauses every change causes one call from every machine.
 """
 
 from random import Random
@@ -19,46 +19,49 @@
 from magnolialug.watchsubscriber import WatchSubscriber
 
 
-class Seen(WatchSubscriber):
-    """Notes when each key was seen to change."""
+class RecordingSubscriber(WatchSubscriber):
+    """Records when each key was seen to change."""
 
     def __init__(self, clock):
         self.clock = clock
         self.at = {}
         self.values = {}
         self.away_s = []
-        self.settles = 0
+        self.settled_count = 0
 
     def snapshot(self, entries):
-        """Takes all entries."""
+        """Records all entries."""
         for entry in entries:
             self.changed(entry)
 
     def changed(self, entry):
-        """Takes one change."""
+        """Records one change."""
         self.at.setdefault(entry.key, self.clock.seconds())
         self.values[entry.key] = entry.value
 
     def back(self, away_s):
-        """Notes for how long the service was away."""
+        """Records how long the service could not be reached."""
         self.away_s.append(away_s)
 
     def settled(self):
-        """Counts what came together."""
-        self.settles += 1
+        """Counts the batches of changes."""
+        self.settled_count += 1
 
 
 class WatchClientTest(TestCase):
-    """Few calls, and no change seen late."""
+    """Changes are seen in time with few calls."""
 
     def setUp(self):
         super().setUp()
         self.clock = Clock()
         self.kv = KvStore(self.clock)
-        self.seen, self.other = Seen(self.clock), Seen(self.clock)
-        takes = {"a/": self.seen, "b/": self.other}
+        self.seen, self.other = (
+            RecordingSubscriber(self.clock),
+            RecordingSubscriber(self.clock),
+        )
+        subscribers = {"a/": self.seen, "b/": self.other}
         self.watch_client = WatchClient(
-            self.kv, takes, self.clock, Random(1), 25.0, (0.25, 1.0)
+            self.kv, subscribers, self.clock, Random(1), 25.0, (0.25, 1.0)
         )
         self.watch_client.start()
         self.addCleanup(self.watch_client.stop)
@@ -74,23 +77,22 @@
         ensureDeferred(self.kv.put_if(key, b"x", 0))
         return self.clock.seconds()
 
-    def test_one_that_comes_alone_is_seen_at_once(self):
+    def test_a_single_change_is_seen_at_once(self):
         at = self.write("a/1")
         self.pass_time(0.5)
         self.assertLess(self.seen.at["a/1"] - at, 0.02)
 
-    def test_a_second_and_a_third_are_seen_soon(self):
+    def test_a_second_and_a_third_change_are_seen_soon(self):
         for number in range(3):
             at = self.write(f"a/{number}")
             self.pass_time(0.3)
             self.assertLess(self.seen.at[f"a/{number}"] - at, 0.27)
 
-    def test_a_fleet_that_starts_costs_few_calls(self):
-        """Every machine is woken by every change.
+    def test_a_starting_fleet_causes_few_calls(self):
+        """Guards against one watch call for every change in the fleet.
 
-        Symptom: 13 calls a machine before the first request, and as many
-        again in a rolling restart. Cause: the next call was made a third of a
-        second after each.
+        With a third of a second between calls, each machine made 13 calls
+        before the first request, and as many again in a rolling restart.
         """
         before = self.kv.calls["watch"]
         written = {}
@@ -101,10 +103,10 @@
         self.assertLess(self.kv.calls["watch"] - before, 12)
         late = [self.seen.at[key] - at for key, at in written.items()]
         self.assertLess(max(late), 1.05)
-        self.assertLess(self.seen.settles, 12)
+        self.assertLess(self.seen.settled_count, 12)
 
     def test_a_change_behind_a_lost_watch_is_seen_within_the_bound(self):
-        """The answer to a watch is lost in an outage; the path stays open."""
+        """The reply to a watch is lost while the connection stays open."""
         self.kv.lose_watches()
         at = self.write("a/1")
         self.pass_time(2)
@@ -112,7 +114,7 @@
         self.assertLess(self.seen.at["a/1"] - at, 1.5)
 
     def test_an_outage_is_noticed_while_a_watch_waits(self):
-        """A service that falls silent closes no connection."""
+        """A service that stops answering closes no connection."""
         self.kv.lose_watches()
         self.kv.faults.down = True
         self.pass_time(2)
@@ -122,7 +124,7 @@
         self.assertTrue(self.watch_client.in_touch)
 
     def test_a_service_that_was_never_reached_is_logged(self):
-        """Guards against a process that refuses all, and does not say why."""
+        """Guards against a process that logs no cause for its refusals."""
         self.watch_client.stop()
         lines = []
         sink = logger.add(lines.append, format="{message}")
@@ -138,7 +140,7 @@
         self.assertEqual("KV_TIMEOUT", lost[0]["code_name"])
 
     def test_time_away_counts_from_the_last_answer(self):
-        """Guards against an end of a stale watch that counts as an answer."""
+        """Guards against counting the end of a stale watch as a reply."""
         self.kv.lose_watches()
         self.kv.faults.down = True
         self.pass_time(4)
@@ -146,8 +148,8 @@
         self.pass_time(2)
         self.assertGreaterEqual(self.seen.away_s[-1], 4.0)
 
-    def test_one_that_could_not_connect_is_back_soon(self):
-        """Guards against a process that learns too late what it missed."""
+    def test_it_reconnects_soon_after_failed_connection_attempts(self):
+        """Guards against a late read of the missed changes."""
         self.kv.faults.unreachable = True
         self.kv.end_watches()
         self.pass_time(10)
@@ -155,13 +157,13 @@
         self.pass_time(0.26)
         self.assertTrue(self.watch_client.in_touch)
 
-    def test_checks_of_a_quiet_watch_do_not_end_it(self):
-        """A check is cheap; a watch that is asked anew is not."""
+    def test_checks_of_an_idle_watch_do_not_end_it(self):
+        """A check is cheap, while a new watch call is not."""
         before = self.kv.calls["watch"]
         self.pass_time(15)
         self.assertEqual(0, self.kv.calls["watch"] - before)
 
-    def test_each_is_told_to_those_whose_it_is(self):
+    def test_each_change_goes_to_the_subscriber_of_its_prefix(self):
         self.write("a/1")
         self.write("b/1")
         self.write("c/1")
@@ -171,7 +173,7 @@
 
 
 class LostPageTest(TestCase):
-    """A service with more entries than one answer holds."""
+    """A service whose entries need several pages."""
 
     def setUp(self):
         super().setUp()
@@ -184,14 +186,14 @@
         self.fails_at = set()
         self.on_failure = lambda: None
         self.kv.page = self.page
-        self.seen = Seen(self.clock)
+        self.seen = RecordingSubscriber(self.clock)
         self.watch_client = WatchClient(
             self.kv, {"a/": self.seen}, self.clock, Random(1), 25.0
         )
         self.addCleanup(self.watch_client.stop)
 
     async def page(self, prefix, after="", *args):
-        """Loses the answers that the test names."""
+        """Loses the replies whose numbers are in `fails_at`."""
         self.asked.append(after)
         if len(self.asked) in self.fails_at:
             self.on_failure()
@@ -203,8 +205,8 @@
         for _ in range(round(seconds / 0.01)):
             self.clock.advance(0.01)
 
-    def test_a_page_that_is_lost_is_asked_for_alone(self):
-        """Guards against a start that begins anew with each lost page."""
+    def test_only_the_lost_page_is_requested_again(self):
+        """Guards against reading all pages again after each lost page."""
         self.fails_at = {2, 4}
         self.watch_client.start()
         self.pass_time(1)
@@ -212,7 +214,7 @@
         self.assertEqual(7, len(self.seen.at))
 
     def test_pages_are_read_again_after_an_outage(self):
-        """Guards against entries that were removed while pages were lost."""
+        """Guards against listing entries removed while pages were lost."""
         self.fails_at = set(range(2, 30))
         self.watch_client.start()
         self.pass_time(1)
@@ -222,7 +224,7 @@
         self.assertNotIn("a/0", self.seen.at)
 
     def test_pages_are_read_again_after_a_change(self):
-        """Guards against a snapshot that undoes a change reported before."""
+        """Guards against a snapshot that undoes a change already reported."""
         self.watch_client.start()
         self.pass_time(1)
         self.hide_changes("b/1")
@@ -235,7 +237,7 @@
         self.assertIsNone(self.seen.values["a/0"])
 
     def test_pages_are_read_again_after_an_urgent_change(self):
-        """Guards against a catch-up that lists what it has just removed."""
+        """Guards against a catch-up that lists an entry just removed."""
         ensureDeferred(self.kv.put_if("z", b"x" * 100_000, 0))
         self.watch_client = WatchClient(
             self.kv,
@@ -256,17 +258,17 @@
         self.assertIsNone(self.seen.values["a/0"])
 
     def hide_changes(self, key):
-        """Makes watches skip a change, so that all entries are read."""
+        """Changes a key without a report, so that all entries are read."""
         self.kv.faults.deaf_watches = True
         ensureDeferred(self.kv.put_if(key, b"x", 0))
 
     def show_a_removal(self):
-        """Removes a key of a page that was read, and reports it."""
+        """Removes a key of a page already read, and reports the removal."""
         self.kv.faults.deaf_watches = False
         self.kv._remove("a/0")
 
-    def test_an_answer_that_is_too_long_is_replaced_by_a_snapshot(self):
-        """Guards against changes that are asked for in vain for ever."""
+    def test_a_snapshot_replaces_a_response_that_is_too_long(self):
+        """Guards against repeating a request that can never succeed."""
         self.watch_client.start()
         self.pass_time(1)
         self.asked.clear()
--- a/tests/gatewaycluster.py
+++ b/tests/gatewaycluster.py
@@ -139,7 +139,7 @@
         )
         gateway.start()
         self.net.servers[(host, 80)] = gateway.factory
-        self.net.listenUDP(7000, gateway.talk, interface=host)
+        self.net.listenUDP(7000, gateway.messenger, interface=host)
         return gateway
 
     def start_behind(self, path, vm, number):
--- a/tests/promises/test_answers.py
+++ b/tests/promises/test_answers.py
@@ -136,7 +136,7 @@
         cluster.kill_entry(0)
         sink = Gathered()
         fut = ensureDeferred(
-            cluster.entries[1].reread(
+            cluster.entries[1].replay(
                 "members", outcome.sink.request_id, had, sink
             )
         )
@@ -160,7 +160,7 @@
         sidecar.answers.trim(0)
         cluster.net.deliver(*seen[0])
         fut = ensureDeferred(
-            cluster.entries[1].reread(
+            cluster.entries[1].replay(
                 "members", outcome.sink.request_id, 0, Gathered()
             )
         )
@@ -181,7 +181,7 @@
         results = []
         for request_id in (known, known[:-1] + "x"):
             fut = ensureDeferred(
-                cluster.entries[1].reread("renters", request_id, 0, Gathered())
+                cluster.entries[1].replay("renters", request_id, 0, Gathered())
             )
             cluster.run(2)
             results.append((fut.result.code, fut.result.executed))
