--- a/magnolialug/carrier/__init__.py
+++ b/magnolialug/carrier/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP connections to endpoints and to the platform's store."""
+"""HTTP client: connections to endpoints and to the platform's store."""
--- a/magnolialug/carrier/client.py
+++ b/magnolialug/carrier/client.py
@@ -1,4 +1,4 @@
-"""Whole requests and responses over pooled connections."""
+"""HTTP client that buffers whole responses from pooled connections."""
 
 from collections.abc import Mapping
 
@@ -6,22 +6,23 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IDelayedCall, IReactorTCP
 
-from magnolialug.carrier.pool import Address, Flight, Pool
+from magnolialug.carrier.pool import Address, PendingRequest, Pool
 from magnolialug.carrier.progress import Progress
 from magnolialug.carrier.reader import Head
-from magnolialug.carrier.taker import End, Taker
+from magnolialug.carrier.responsereceiver import End, ResponseReceiver
 from magnolialug.silencetimer import SilenceTimer
 
-__all__ = ["Client", "NoReply", "Reply", "address_of", "request_bytes"]
+__all__ = ["Client", "NoReply", "Reply", "parse_address", "request_bytes"]
 
-_LIMIT_BYTES = 8 * 1024 * 1024
-# A request on a slow link, beside other traffic, leaves at least this fast. Its
-# response cannot begin before.
-_SLOWEST_SEND_BYTES_PER_S = 32 * 1024
+_MAX_BODY_BYTES = 8 * 1024 * 1024
+# Assumed lowest send rate of a request on a slow link that carries other
+# traffic. The time to send at this rate extends the time-out for the response,
+# which cannot begin before the request has been sent.
+_MIN_SEND_BYTES_PER_S = 32 * 1024
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -29,17 +30,18 @@
 
 
 class NoReply(msgspec.Struct, frozen=True):
-    """No whole response came.
+    """The call ended without a complete response.
 
     Attributes:
-      end: UNSENT proves that the peer saw nothing; any other leaves it open.
+      end: how the exchange ended. UNSENT proves that the peer received
+        nothing; after any other end it may have received the request.
     """
 
     end: End
 
 
-def address_of(url: str) -> Address:
-    """Returns host and port of "http://host:port"."""
+def parse_address(url: str) -> Address:
+    """Returns the host and port of a URL "http://host:port"."""
     host, _, port = url.rpartition("//")[2].rstrip("/").rpartition(":")
     return host, int(port or 0)
 
@@ -51,7 +53,7 @@
     body: bytes = b"",
     headers: Mapping[str, str] | None = None,
 ) -> bytes:
-    """Returns a request as it is sent."""
+    """Returns the bytes of an HTTP/1.1 request."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if body or method != "GET":
@@ -61,72 +63,79 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class _Path(msgspec.Struct):
-    """What is known of the path from one peer.
+class _PeerArrivals(msgspec.Struct):
+    """Arrivals from one peer, shared by all calls to it.
 
     Attributes:
-      arriving_at: when a further piece of some response arrived. While it
-        goes on, other responses may be waiting behind it.
+      last_piece_at: when a piece of any response last arrived, not counting
+        the first bytes of a response. While a response arrives, others may be
+        queued behind it on the link.
     """
 
-    arriving_at: float = float("-inf")
+    last_piece_at: float = float("-inf")
 
 
 class _Call:
-    """Collects one response, and ends when nothing arrives for too long.
+    """Collects one response; times out if no bytes arrive for too long.
 
     Attributes:
-      first_s: the longest time until the response begins.
-      later_s: the longest time between two pieces of it.
-      path: what it shares with other calls.
+      first_byte_timeout_s: the longest time until the response begins.
+      piece_timeout_s: the longest time between two pieces of the response.
+      arrivals: arrivals from the peer, shared with other calls to it.
     """
 
     def __init__(self, reactor, progress: Progress):
-        self.first_s = self.later_s = 0.0
-        self.path = _Path()
+        self.first_byte_timeout_s = self.piece_timeout_s = 0.0
+        self.arrivals = _PeerArrivals()
         self._reactor = reactor
         self._progress = progress
         self._done: Deferred | None = None
-        self._flight: Flight | None = None
+        self._pending: PendingRequest | None = None
         self._head: Head | None = None
         self._pieces: list[bytes] = []
-        self._silence = SilenceTimer(reactor, self._silent_at, self._give_up)
-        self._opening: IDelayedCall | None = None
+        self._silence = SilenceTimer(
+            reactor, self._silence_deadline, self._time_out
+        )
+        self._connect_timer: IDelayedCall | None = None
         progress.begin(reactor.seconds())
 
-    def begin(self, flight: Flight, connect_s: float | None) -> Deferred:
-        """Returns the deferred response to what has been sent."""
-        self._flight = flight
+    def begin(
+        self, pending: PendingRequest, connect_s: float | None
+    ) -> Deferred:
+        """Returns a deferred of the response to a request already sent."""
+        self._pending = pending
         self._done = done = Deferred(self._cancelled)
         self._silence.check()
         if connect_s is not None:
-            self._opening = self._reactor.callLater(connect_s, flight.unopened)
+            self._connect_timer = self._reactor.callLater(
+                connect_s, pending.fail_unless_connected
+            )
         return done
 
     def on_head(self, head: Head) -> None:
-        """Takes the head."""
+        """Records the response's head."""
         self._head = head
-        self._progress.hear(self._reactor.seconds(), 0)
+        self._progress.record(self._reactor.seconds(), 0)
         self._silence.check()
 
     def on_data(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Adds a piece of the body; drops the call above _MAX_BODY_BYTES."""
         now = self._reactor.seconds()
-        if now > self._progress.begun_at:
-            self.path.arriving_at = now
-        self._progress.hear(now, len(data))
+        if now > self._progress.first_byte_at:
+            self.arrivals.last_piece_at = now
+        self._progress.record(now, len(data))
         self._pieces.append(data)
-        if self._progress.received > _LIMIT_BYTES:
-            self._flight.drop()
+        if self._progress.received > _MAX_BODY_BYTES:
+            self._pending.drop()
 
     def on_end(self, end: End) -> None:
-        """Hands the response over."""
-        self._progress.whole = end is End.WHOLE
+        """Fires the deferred with the Reply or NoReply."""
+        self._progress.complete = end is End.COMPLETE
         self._stop()
         done, self._done = self._done, None
         if done is None:
             return
-        if end is not End.WHOLE:
+        if end is not End.COMPLETE:
             done.callback(NoReply(end))
             return
         body = b"".join(self._pieces)
@@ -134,41 +143,41 @@
 
     def _cancelled(self, _: Deferred) -> None:
         self._done = None
-        self._flight.drop()
+        self._pending.drop()
 
     def _stop(self) -> None:
         self._silence.cancel()
-        if self._opening is not None and self._opening.active():
-            self._opening.cancel()
+        if self._connect_timer is not None and self._connect_timer.active():
+            self._connect_timer.cancel()
 
-    def _give_up(self) -> None:
-        self._flight.silent()
+    def _time_out(self) -> None:
+        self._pending.time_out()
 
-    def _silent_at(self) -> float:
-        """Returns when nothing will have arrived for too long."""
-        progress, other_at = self._progress, self.path.arriving_at
-        if progress.heard_at is None:
-            first_at = progress.asked_at + self.first_s
-            return max(first_at, other_at + self.later_s)
-        return max(progress.heard_at, other_at) + self.later_s
+    def _silence_deadline(self) -> float:
+        """Returns when the call times out if no more bytes arrive."""
+        progress, other_piece_at = self._progress, self.arrivals.last_piece_at
+        if progress.last_byte_at is None:
+            first_deadline = progress.started_at + self.first_byte_timeout_s
+            return max(first_deadline, other_piece_at + self.piece_timeout_s)
+        return max(progress.last_byte_at, other_piece_at) + self.piece_timeout_s
 
 
 class Client:
-    """Asks one peer at a time, and gives a silent one up.
+    """Sends requests to peers and times out calls on which nothing arrives.
 
-    What bounds a call is how long nothing arrives, not how long the response
-    is: a link that is slower than a long response would make that response a
-    failure at every attempt.
+    A call is bounded by the time without arriving bytes, not by its total
+    duration. With a bound on the total, a long response on a slow link would
+    fail at every attempt.
 
     Args:
-      limit: most connections to one address.
+      limit: the maximum number of connections to one address.
     """
 
     def __init__(self, reactor: IReactorTCP, limit: int = 64):
         self._reactor = reactor
         self._limit = limit
         self._pools: dict[Address, Pool] = {}
-        self._paths: dict[Address, _Path] = {}
+        self._arrivals: dict[Address, _PeerArrivals] = {}
 
     def ask(
         self,
@@ -179,46 +188,52 @@
         silence_s: float | None = None,
         progress: Progress | None = None,
     ) -> Deferred[Reply | NoReply]:
-        """Returns the response, or how it failed to come.
+        """Returns the response, or a NoReply that says how the call ended.
 
-        The call ends as SILENT if nothing arrives for too long. While a long
-        response arrives from the same peer on another connection, this one may
-        be waiting behind it on the link, and is not taken for silent.
+        The call ends as SILENT if no bytes arrive for too long. While a long
+        response arrives from the same peer on another connection, this
+        response may be queued behind it on the link, so the call does not time
+        out.
 
-        The call ends if it has no connection after `connect_s`; one that opens
-        later serves the next call.
+        The call ends as UNSENT if it has no connection after `connect_s`. A
+        connection that opens later is used for the next call.
 
-        Cancelled, it fails with CancelledError. A task that is cancelled
-        while it asks would otherwise take the end of its call for an answer
-        and go on: a process that stops would take a lease once more, and
-        hold it beyond its end.
+        A cancelled call fails with CancelledError. If it returned NoReply
+        instead, a cancelled task would treat that as a reply and continue: a
+        process that is stopping would acquire a lease again and hold it after
+        it has ended.
 
         Args:
-          timeout_s: the longest time until the response begins.
+          timeout_s: the longest time until the response begins. The time to
+            send the request at _MIN_SEND_BYTES_PER_S is added.
           connect_s: the longest time until there is a connection, None for
-            the timeout.
+            timeout_s.
           silence_s: the longest time between two pieces of the response, None
-            for the timeout.
-          progress: records what arrives.
+            for timeout_s.
+          progress: records the bytes that arrive.
         """
         call = _Call(self._reactor, progress or Progress())
-        call.first_s = timeout_s + len(request) / _SLOWEST_SEND_BYTES_PER_S
-        call.later_s = timeout_s if silence_s is None else silence_s
-        call.path = self._paths.setdefault(address, _Path())
+        call.first_byte_timeout_s = (
+            timeout_s + len(request) / _MIN_SEND_BYTES_PER_S
+        )
+        call.piece_timeout_s = timeout_s if silence_s is None else silence_s
+        call.arrivals = self._arrivals.setdefault(address, _PeerArrivals())
         return call.begin(self.send(address, request, call), connect_s)
 
     def seconds(self) -> float:
-        """Returns the time by which progress is recorded."""
+        """Returns the clock's time in seconds, as used in Progress."""
         return self._reactor.seconds()
 
-    def send(self, address: Address, request: bytes, taker: Taker) -> Flight:
-        """Sends a request; the response goes to its taker as it arrives."""
+    def send(
+        self, address: Address, request: bytes, receiver: ResponseReceiver
+    ) -> PendingRequest:
+        """Sends a request and passes the response on as it arrives."""
         pool = self._pools.get(address)
         if pool is None:
             clock = self._reactor.seconds
             pool = Pool(self._reactor, address, self._limit, clock)
             self._pools[address] = pool
-        return pool.send(request, taker, lambda head: True)
+        return pool.send(request, receiver, lambda head: True)
 
     def drop_idle(self, address: Address) -> None:
         """Closes the idle connections to a peer."""
--- a/magnolialug/carrier/connection.py
+++ b/magnolialug/carrier/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to an endpoint, one exchange at a time."""
+"""One HTTP connection to an endpoint, with one exchange at a time."""
 
 import enum
 import socket
@@ -9,22 +9,28 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from magnolialug.carrier.reader import BadResponseError, Head, ResponseReader
-from magnolialug.carrier.taker import End, Taker
-
-__all__ = ["USER_TIMEOUT_MS", "Connection", "keep_alive_seconds", "watch_path"]
-
-# How long sent bytes may stay unacknowledged before the kernel gives the
-# connection up. Paths here take a few milliseconds; a lost packet is sent
-# again after 0.2 s, then 0.4 s, so two losses in a row still pass.
+from magnolialug.carrier.responsereceiver import End, ResponseReceiver
+
+__all__ = [
+    "USER_TIMEOUT_MS",
+    "Connection",
+    "keep_alive_seconds",
+    "enable_dead_peer_detection",
+]
+
+# How long sent bytes may stay unacknowledged before the kernel closes the
+# connection. Network latency is a few milliseconds and a lost packet is sent
+# again after 0.2 s, then 0.4 s, so a connection survives two losses in a row.
 USER_TIMEOUT_MS = 1500
 _PROBE_IDLE_S = 1
-_PROBE_EVERY_S = 1
-_PROBES = 2
-# A connection is left alone for this long before its announced idle limit,
-# since a request that crosses the close may or may not have been read.
+_PROBE_INTERVAL_S = 1
+_PROBE_COUNT = 2
+# A connection is not reused within this time before its announced idle limit:
+# if the endpoint closes it while a request is in transit, it is unknown whether
+# the endpoint read the request.
 _KEEP_ALIVE_MARGIN_S = 0.7
-# Endpoints that announce nothing are trusted with this idle time.
-_UNSTATED_KEEP_ALIVE_S = 4.0
+# Idle time assumed for endpoints that announce no limit.
+_DEFAULT_KEEP_ALIVE_S = 4.0
 
 
 class _State(enum.Enum):
@@ -33,13 +39,13 @@
     CLOSED = "closed"
 
 
-def watch_path(transport) -> None:
-    """Makes the kernel notice a path that has gone silent.
+def enable_dead_peer_detection(transport) -> None:
+    """Sets the socket options that make the kernel close a dead connection.
 
-    A firewall that forgets a connection leaves it open at both ends and
-    passes nothing more. One would notice requests that hang until their
-    deadline while new connections work. Unacknowledged bytes and probes of
-    an idle connection end it within a few seconds.
+    A firewall that loses a connection's state drops its packets, while both
+    ends still see it as open. Requests on it would hang until their deadline
+    although new connections work. The user time-out on unacknowledged bytes
+    and the probes of an idle connection close it within a few seconds.
     """
     handle = transport.getHandle()
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -48,185 +54,193 @@
     )
     handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_IDLE_S)
-    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_EVERY_S)
-    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    handle.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S
+    )
+    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBE_COUNT)
 
 
 def keep_alive_seconds(head: Head) -> float:
-    """Returns how long a connection may idle after this response, 0 for no."""
+    """Returns how many seconds a connection may idle after this response.
+
+    Returns 0 if the connection must not be reused.
+    """
     connection = (head.get(b"connection") or b"").lower()
-    if b"close" in connection or not head.framed:
+    if b"close" in connection or not head.is_framed:
         return 0.0
     for part in (head.get(b"keep-alive") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return max(0.0, int(value) - _KEEP_ALIVE_MARGIN_S)
-    return _UNSTATED_KEEP_ALIVE_S
+    return _DEFAULT_KEEP_ALIVE_S
 
 
 class Connection(Protocol):
-    """Carries requests one after another, and never one after a surprise.
+    """Sends requests one after another; is not reused after a protocol error.
 
-    Bytes that belong to no request, a response that breaks off, a parser's
-    complaint: after any of these the connection is closed, since what comes
-    next on it could be read as the answer to another request.
+    The connection is closed after bytes that belong to no request, a truncated
+    response or a parser error, since later bytes on it could be read as the
+    response to another request.
 
     Args:
       clock: returns the time in seconds.
-      on_open: is told when the connection is made.
-      on_free: is told when an exchange has ended and whether the connection
-        can carry another.
-      on_gone: is told when the connection is closed.
+      on_open: called when the connection is made.
+      on_idle: called when an exchange has ended and the connection can be
+        reused.
+      on_closed: called when the connection is closed.
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
         on_open: Callable[["Connection"], None],
-        on_free: Callable[["Connection"], None],
-        on_gone: Callable[["Connection"], None],
+        on_idle: Callable[["Connection"], None],
+        on_closed: Callable[["Connection"], None],
     ):
         self._clock = clock
         self._on_open = on_open
-        self._on_free = on_free
-        self._on_gone = on_gone
+        self._on_idle = on_idle
+        self._on_closed = on_closed
         self._state = _State.IDLE
-        self._taker: Taker | None = None
-        self._answers = None
+        self._receiver: ResponseReceiver | None = None
+        self._accepts_head = None
         self._head: Head | None = None
-        self._foreign = False
-        self._clean = True
-        self._reader = ResponseReader(self._headed, self._data, self._whole)
-        self.served = 0
+        self._discarding = False
+        self._reusable = True
+        self._reader = ResponseReader(
+            self._on_head, self._on_data, self._on_complete
+        )
+        self.exchange_count = 0
         self.usable_until = float("inf")
 
     def connectionMade(self) -> None:
-        """Sets the options that reveal a silent path."""
-        watch_path(self.transport)
+        """Enables dead peer detection and reports the connection."""
+        enable_dead_peer_detection(self.transport)
         self._on_open(self)
 
     @property
     def usable(self) -> bool:
-        """Whether an exchange can begin now."""
+        """Whether a new exchange can begin now."""
         return (
             self._state is _State.IDLE
-            and self._clean
+            and self._reusable
             and self._clock() < self.usable_until
         )
 
     def exchange(
         self,
         request: bytes,
-        taker: Taker,
-        answers: Callable[[Head], bool],
+        receiver: ResponseReceiver,
+        accepts_head: Callable[[Head], bool],
     ) -> None:
         """Sends a request.
 
         Args:
-          request: head and body.
-          taker: gets the response.
-          answers: tells whether a head answers this request; one that does
-            not belongs to an earlier request, and is read and thrown away.
+          request: head and body as bytes.
+          receiver: receives the response.
+          accepts_head: returns whether a head answers this request. A
+            response that does not belongs to an earlier request and is
+            discarded.
         """
         self._state = _State.BUSY
-        self._taker = taker
-        self._answers = answers
+        self._receiver = receiver
+        self._accepts_head = accepts_head
         self._head = None
-        self._foreign = False
-        self.served += 1
+        self._discarding = False
+        self.exchange_count += 1
         self.transport.write(request)
 
     def drop(self) -> None:
-        """Ends the exchange at once; the endpoint sees the close."""
+        """Ends the exchange as DROPPED and closes the connection."""
         self._finish(End.DROPPED)
         self.close()
 
     def close(self) -> None:
-        """Closes without waiting for anything."""
-        self._clean = False
+        """Aborts the connection without flushing unsent bytes."""
+        self._reusable = False
         if self.transport is not None:
             self.transport.abortConnection()
 
     def pause(self) -> None:
-        """Stops reading, so that the endpoint is held back."""
+        """Stops reading, which applies back pressure to the endpoint."""
         if self._state is not _State.CLOSED:
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Reads again."""
+        """Resumes reading."""
         if self._state is not _State.CLOSED:
             self.transport.resumeProducing()
 
     def dataReceived(self, data: bytes) -> None:
-        """Takes bytes from the endpoint."""
+        """Parses bytes from the endpoint; closes if none are expected."""
         if self._state is not _State.BUSY:
-            self._clean = False
+            self._reusable = False
             self.close()
             return
         try:
             self._reader.feed(data)
         except BadResponseError:
-            self._clean = False
-            self._finish(End.GARBAGE)
-        self._settle()
+            self._reusable = False
+            self._finish(End.MALFORMED)
+        self._release()
 
     def connectionLost(self, reason: TwistedFailure) -> None:
-        """Ends what is under way."""
+        """Ends the current exchange, if any, and reports the close."""
         orderly = reason.check(ConnectionDone) is not None
-        self._clean = False
-        if self._taker is not None and not (
-            orderly and not self._foreign and self._reader.closed()
+        self._reusable = False
+        if self._receiver is not None and not (
+            orderly and not self._discarding and self._reader.end_of_stream()
         ):
             self._finish(End.CLOSED if orderly else End.RESET)
         self._state = _State.CLOSED
-        self._reader.over = True
-        self._on_gone(self)
+        self._reader.stopped = True
+        self._on_closed(self)
 
-    def _headed(self, head: Head) -> None:
-        if self._taker is None:
-            self._clean = False
+    def _on_head(self, head: Head) -> None:
+        if self._receiver is None:
+            self._reusable = False
             return
-        self._foreign = not self._answers(head)
-        if self._foreign:
-            self._clean = False
+        self._discarding = not self._accepts_head(head)
+        if self._discarding:
+            self._reusable = False
             return
         self._head = head
-        self._taker.on_head(head)
+        self._receiver.on_head(head)
 
-    def _data(self, data: bytes) -> None:
-        if self._taker is not None and not self._foreign:
-            self._taker.on_data(data)
+    def _on_data(self, data: bytes) -> None:
+        if self._receiver is not None and not self._discarding:
+            self._receiver.on_data(data)
 
-    def _whole(self) -> None:
-        if self._taker is None:
-            self._clean = False
+    def _on_complete(self) -> None:
+        if self._receiver is None:
+            self._reusable = False
             return
-        if self._foreign:
-            self._foreign = False
+        if self._discarding:
+            self._discarding = False
             return
-        keep_s = keep_alive_seconds(self._head)
-        if keep_s <= 0:
-            self._clean = False
-        self.usable_until = self._clock() + keep_s
-        self._finish(End.WHOLE)
+        idle_s = keep_alive_seconds(self._head)
+        if idle_s <= 0:
+            self._reusable = False
+        self.usable_until = self._clock() + idle_s
+        self._finish(End.COMPLETE)
 
     def _finish(self, end: End) -> None:
-        taker, self._taker = self._taker, None
-        if taker is None:
+        receiver, self._receiver = self._receiver, None
+        if receiver is None:
             return
         if self._state is _State.BUSY:
             self._state = _State.IDLE
-        taker.on_end(end)
+        receiver.on_end(end)
 
-    def _settle(self) -> None:
-        """Frees or closes the connection after an exchange.
+    def _release(self) -> None:
+        """Reports the connection as idle, or closes it, after an exchange.
 
-        Only when all bytes that came have been read is it known whether
-        something followed the response.
+        Called after all received bytes are parsed, since only then is it known
+        whether further bytes followed the response.
         """
         if self._state is not _State.IDLE:
             return
-        if self._clean and not self._reader.begun:
-            self._on_free(self)
+        if self._reusable and not self._reader.mid_response:
+            self._on_idle(self)
         else:
             self.close()
--- a/magnolialug/carrier/pool.py
+++ b/magnolialug/carrier/pool.py
@@ -1,4 +1,4 @@
-"""The connections of one process to one endpoint."""
+"""Pool of the connections of one process to one endpoint."""
 
 from collections.abc import Callable
 
@@ -8,81 +8,85 @@
 
 from magnolialug.carrier.connection import Connection
 from magnolialug.carrier.reader import Head
-from magnolialug.carrier.taker import End, Taker
+from magnolialug.carrier.responsereceiver import End, ResponseReceiver
 
-__all__ = ["CONNECT_S", "Address", "Flight", "Pool"]
+__all__ = ["CONNECT_S", "Address", "PendingRequest", "Pool"]
 
-# An opening packet that is dropped at a full queue is sent again after a
-# second, so waiting longer gains one more try at a peer that is in trouble.
+# A SYN that is dropped at a full queue is sent again after 1 s. A longer
+# time-out would only add one more attempt at a peer with problems.
 CONNECT_S = 0.9
-# A connection that is closed this soon, before anything was asked on it, was
-# not taken by an endpoint: it closes idle ones after seconds.
-_PROBE_S = 0.1
+# An endpoint closes idle connections only after seconds. A connection that is
+# closed within this time, before any request, was therefore not accepted by an
+# endpoint.
+_PROBE_CLOSE_S = 0.1
 
 Address = tuple[str, int]
 
 
-class Flight:
-    """One request on its way, whether or not it has a connection yet.
+class PendingRequest:
+    """Handle of one request, which may not have a connection yet.
 
-    It stands between the connection and the taker, so that a connection that
-    already carries the next request is never dropped in the name of an
-    earlier one.
+    It detaches from its connection when the exchange ends. Dropping an ended
+    request can therefore not close a connection that already carries the next
+    request.
 
     Attributes:
-      over: whether the exchange has ended.
+      ended: whether the exchange has ended.
     """
 
     def __init__(
-        self, request: bytes, taker: Taker, answers: Callable[[Head], bool]
+        self,
+        request: bytes,
+        receiver: ResponseReceiver,
+        accepts_head: Callable[[Head], bool],
     ):
-        self.over = False
-        self.on_head = taker.on_head
-        self.on_data = taker.on_data
+        self.ended = False
+        self.on_head = receiver.on_head
+        self.on_data = receiver.on_data
         self._request = request
-        self._taker = taker
-        self._answers = answers
+        self._receiver = receiver
+        self._accepts_head = accepts_head
         self._conn: Connection | None = None
 
     def begin(self, conn: Connection) -> None:
         """Sends the request on a connection."""
         self._conn = conn
-        conn.exchange(self._request, self, self._answers)
+        conn.exchange(self._request, self, self._accepts_head)
 
     def on_end(self, end: End) -> None:
-        """Takes the end of the exchange."""
-        if self.over:
+        """Reports the end of the exchange to the receiver, once."""
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self._conn = None
-        self._taker.on_end(end)
+        self._receiver.on_end(end)
 
     def drop(self) -> None:
-        """Ends the exchange as DROPPED; the endpoint sees the close."""
+        """Ends the exchange as DROPPED and closes its connection."""
         conn = self._conn
         self.on_end(End.DROPPED)
         if conn is not None:
             conn.drop()
 
-    def silent(self) -> None:
-        """Ends the exchange because nothing has come for too long."""
+    def time_out(self) -> None:
+        """Ends the exchange as SILENT, or UNSENT if it has no connection."""
         conn = self._conn
         self.on_end(End.SILENT if conn is not None else End.UNSENT)
         if conn is not None:
             conn.drop()
 
-    def unopened(self) -> None:
-        """Ends the exchange if it still has no connection."""
+    def fail_unless_connected(self) -> None:
+        """Ends the exchange as UNSENT if it still has no connection."""
         if self._conn is None:
             self.on_end(End.UNSENT)
 
     def pause(self) -> None:
-        """Holds the endpoint back."""
+        """Stops reading the response."""
         if self._conn is not None:
             self._conn.pause()
 
     def resume(self) -> None:
-        """Lets the endpoint go on."""
+        """Resumes reading the response."""
         if self._conn is not None:
             self._conn.resume()
 
@@ -95,17 +99,17 @@
         self._failed = failed
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        """Reports a connection that could not be made, and if refused."""
+        """Reports a failed connection attempt and whether it was refused."""
         self._failed(reason.check(ConnectionRefusedError) is not None)
 
 
 class Pool:
-    """Reuses connections, the one used last first, within a limit.
+    """Reuses up to `limit` connections, the most recently used one first.
 
     Args:
-      limit: most connections at once.
+      limit: the maximum number of connections at once.
       clock: returns the time in seconds.
-      opened: is told of each new connection that is attempted.
+      opened: called at each attempt to make a connection.
     """
 
     def __init__(
@@ -127,77 +131,83 @@
         self._closed = False
 
     @property
-    def open(self) -> int:
-        """How many connections exist or are being made."""
+    def connection_count(self) -> int:
+        """The number of connections that are open or being made."""
         return len(self._all) + self._connecting
 
     @property
-    def room(self) -> bool:
-        """Whether one more request can have a connection."""
-        return bool(self._idle) or self.open < self.limit
+    def has_capacity(self) -> bool:
+        """Whether a connection is idle or a further one may be made."""
+        return bool(self._idle) or self.connection_count < self.limit
 
     def send(
-        self, request: bytes, taker: Taker, answers: Callable[[Head], bool]
-    ) -> Flight:
-        """Sends a request on a free or a new connection.
+        self,
+        request: bytes,
+        receiver: ResponseReceiver,
+        accepts_head: Callable[[Head], bool],
+    ) -> PendingRequest:
+        """Sends a request on an idle or a new connection.
 
-        Without room the flight ends as UNSENT, in a later turn.
+        At the limit, the request ends as UNSENT in a later reactor iteration.
         """
-        flight = Flight(request, taker, answers)
+        pending = PendingRequest(request, receiver, accepts_head)
         while self._idle:
             conn = self._idle.pop()
             if conn.usable:
-                flight.begin(conn)
-                return flight
+                pending.begin(conn)
+                return pending
             conn.close()
-        if self._closed or self.open >= self.limit:
-            self._reactor.callLater(0, flight.on_end, End.UNSENT)
-            return flight
-        self._connect(flight)
-        return flight
+        if self._closed or self.connection_count >= self.limit:
+            self._reactor.callLater(0, pending.on_end, End.UNSENT)
+            return pending
+        self._connect(pending)
+        return pending
 
     def trim(self) -> None:
-        """Closes idle connections that may not be used any more."""
-        kept = []
+        """Closes idle connections that can no longer be reused."""
+        usable_idle = []
         for conn in self._idle:
             if conn.usable:
-                kept.append(conn)
+                usable_idle.append(conn)
             else:
                 conn.close()
-        self._idle = kept
+        self._idle = usable_idle
 
     def close(self) -> None:
-        """Closes idle connections; those in use close when they are done."""
+        """Closes idle connections; those in use close after their exchange."""
         self._closed = True
         self.drop_idle()
 
     def drop_idle(self) -> None:
-        """Closes idle connections; new ones may be made."""
+        """Closes idle connections; further ones can still be made."""
         for conn in self._idle:
             conn.close()
         self._idle.clear()
 
     def probe(self, done: Callable[[bool], None]) -> None:
-        """Finds out whether the endpoint has ended.
+        """Determines whether the endpoint has ended.
 
-        It has if it refuses a connection, or whatever stands before it closes
-        one at once, and no other one is left: an endpoint that has too many
-        refuses further ones too, and keeps those.
+        It has ended if a new connection is refused, or is closed at once by an
+        intermediary in front of it, and the pool has no other connection. An
+        endpoint that has too many connections refuses further ones too, but
+        keeps the existing ones open.
 
         Args:
-          done: is told.
+          done: called with whether the endpoint has ended.
         """
         timers: list[IDelayedCall] = []
 
         def opened(conn: Connection) -> None:
-            timers.append(self._reactor.callLater(_PROBE_S, spared, conn))
+            timers.append(
+                self._reactor.callLater(_PROBE_CLOSE_S, stayed_open, conn)
+            )
 
-        def spared(conn: Connection) -> None:
+        def stayed_open(conn: Connection) -> None:
             conn.close()
             done(False)
 
-        def gone(conn: Connection) -> None:
-            self._gone(conn)
+        def closed(conn: Connection) -> None:
+            self._remove(conn)
             if timers[0].active():
                 timers[0].cancel()
                 done(not self._all)
@@ -205,27 +215,33 @@
         def failed(refused: bool) -> None:
             done(refused and not self._all)
 
-        self._dial(opened, failed, gone)
+        self._open_connection(opened, failed, closed)
 
-    def _connect(self, flight: Flight) -> None:
+    def _connect(self, pending: PendingRequest) -> None:
         def opened(conn: Connection) -> None:
-            if flight.over:
-                self._free(conn)
+            if pending.ended:
+                self._add_idle(conn)
             else:
-                flight.begin(conn)
+                pending.begin(conn)
 
         def failed(refused: bool) -> None:
-            flight.on_end(End.UNSENT)
+            pending.on_end(End.UNSENT)
 
-        self._dial(opened, failed, self._gone)
+        self._open_connection(opened, failed, self._remove)
 
-    def _dial(
+    def _open_connection(
         self,
         on_open: Callable[[Connection], None],
         on_failed: Callable[[bool], None],
-        on_gone: Callable[[Connection], None],
+        on_closed: Callable[[Connection], None],
     ) -> None:
-        """Makes a connection, or tells that it failed and if it was refused."""
+        """Makes a connection.
+
+        Args:
+          on_open: called with the connection when it is made.
+          on_failed: called if it cannot be made, with whether it was refused.
+          on_closed: called with the connection when it is closed.
+        """
         self._connecting += 1
         self._opened()
 
@@ -238,18 +254,18 @@
             self._connecting -= 1
             on_failed(refused)
 
-        conn = Connection(self._clock, opened, self._free, on_gone)
+        conn = Connection(self._clock, opened, self._add_idle, on_closed)
         factory = _Factory(lambda _: conn, failed)
         host, port = self.address
         self._reactor.connectTCP(host, port, factory, timeout=CONNECT_S)
 
-    def _free(self, conn: Connection) -> None:
+    def _add_idle(self, conn: Connection) -> None:
         if self._closed:
             conn.close()
         else:
             self._idle.append(conn)
 
-    def _gone(self, conn: Connection) -> None:
+    def _remove(self, conn: Connection) -> None:
         self._all.discard(conn)
         if conn in self._idle:
             self._idle.remove(conn)
--- a/magnolialug/carrier/progress.py
+++ b/magnolialug/carrier/progress.py
@@ -1,4 +1,4 @@
-"""How far the response to one call has come."""
+"""Progress of the response to one call."""
 
 from collections.abc import Callable
 
@@ -8,57 +8,61 @@
 
 
 class Progress(msgspec.Struct):
-    """What has arrived of a response; times are the reactor's, in seconds.
+    """Arrival of one response. Times are the reactor's, in seconds.
 
     Attributes:
-      asked_at: when the call began.
-      begun_at: when the response began to arrive, None before.
-      heard_at: when the latest bytes of it arrived, None before.
-      received: bytes of its body that have arrived.
-      whole: whether all of it has arrived.
-      on_begin: is called when the response begins to arrive.
+      started_at: when the call began.
+      first_byte_at: when the response began to arrive, None before that.
+      last_byte_at: when its latest bytes arrived, None before the first.
+      received: the number of body bytes that have arrived.
+      complete: whether the whole response has arrived.
+      on_begin: called when the response begins to arrive.
     """
 
-    asked_at: float = 0.0
-    begun_at: float | None = None
-    heard_at: float | None = None
+    started_at: float = 0.0
+    first_byte_at: float | None = None
+    last_byte_at: float | None = None
     received: int = 0
-    whole: bool = False
+    complete: bool = False
     on_begin: Callable[[], None] | None = None
 
     def begin(self, now: float) -> None:
-        """Records that a call begins."""
-        self.asked_at = now
-        self.begun_at = self.heard_at = None
+        """Resets the record at the start of a call."""
+        self.started_at = now
+        self.first_byte_at = self.last_byte_at = None
         self.received = 0
-        self.whole = False
+        self.complete = False
 
-    def hear(self, now: float, size: int) -> None:
-        """Records that bytes have arrived."""
-        begins = self.begun_at is None
-        if begins:
-            self.begun_at = now
-        self.heard_at = now
+    def record(self, now: float, size: int) -> None:
+        """Records the arrival of `size` body bytes, 0 for the head."""
+        is_first = self.first_byte_at is None
+        if is_first:
+            self.first_byte_at = now
+        self.last_byte_at = now
         self.received += size
-        if begins and self.on_begin is not None:
+        if is_first and self.on_begin is not None:
             self.on_begin()
 
     @property
     def is_arriving(self) -> bool:
-        """Whether a part of the response has arrived, and not all of it."""
-        return self.begun_at is not None and not self.whole
+        """Whether the response has begun to arrive and is incomplete."""
+        return self.first_byte_at is not None and not self.complete
 
     @property
     def arrival_s(self) -> float:
-        """How long the response has been arriving."""
-        return 0.0 if self.begun_at is None else self.heard_at - self.begun_at
+        """Seconds between the first and the latest bytes of the response."""
+        return (
+            0.0
+            if self.first_byte_at is None
+            else self.last_byte_at - self.first_byte_at
+        )
 
     def describe(self, now: float) -> str:
-        """Returns what had arrived of a response that did not become whole."""
-        waited_s = now - self.asked_at
-        if self.begun_at is None:
+        """Returns a text: how much of an incomplete response arrived, when."""
+        waited_s = now - self.started_at
+        if self.first_byte_at is None:
             return f"nothing in {waited_s:.3f} s"
-        silent_s = now - self.heard_at
+        silent_s = now - self.last_byte_at
         return (
             f"{self.received} bytes in {waited_s:.3f} s, "
             f"the last {silent_s:.3f} s ago"
--- a/magnolialug/carrier/reader.py
+++ b/magnolialug/carrier/reader.py
@@ -1,4 +1,4 @@
-"""A strict reader of HTTP responses on one connection."""
+"""Strict parser of the HTTP responses on one connection."""
 
 from collections.abc import Callable
 
@@ -15,13 +15,14 @@
 
     Attributes:
       headers: names in lower case, values as sent, in order.
-      framed: whether its end can be told without the connection's end.
+      is_framed: whether the body's end is known from the headers or the
+        status. If not, the body ends when the connection closes.
     """
 
     status: int
     reason: bytes
     headers: list[tuple[bytes, bytes]]
-    framed: bool = False
+    is_framed: bool = False
 
     def get(self, name: bytes) -> bytes | None:
         """Returns the first value of a header, None if it is absent."""
@@ -32,20 +33,20 @@
 
 
 class BadResponseError(Exception):
-    """The bytes are not a response."""
+    """The bytes are not a valid HTTP response."""
 
 
 class ResponseReader:
-    """Turns bytes into heads, body pieces and ends.
+    """Parses bytes into response heads, pieces of bodies and ends.
 
-    The parser is llhttp in its strict mode: it refuses a length beside
-    chunks, two lengths and bare line feeds, which two readers could take in
-    two ways. Interim responses (1xx) are passed over.
+    The parser is llhttp in strict mode. It rejects a Content-Length beside
+    chunked encoding, two Content-Lengths and bare line feeds, which different
+    parsers could interpret differently. Interim responses (1xx) are skipped.
 
     Args:
-      on_head: gets each final response's head.
-      on_data: gets each piece of its body.
-      on_end: is told when the body is whole.
+      on_head: called with the head of each final response.
+      on_data: called with each piece of its body.
+      on_end: called when the body is complete.
     """
 
     def __init__(
@@ -62,16 +63,16 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._head: Head | None = None
         self._interim = False
-        self.begun = False
-        self.over = False
+        self.mid_response = False
+        self.stopped = False
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they arrive.
+        """Parses bytes as they arrive.
 
         Raises:
-          BadResponseError: if they are not a response.
+          BadResponseError: if they are not a valid response.
         """
-        if self.over:
+        if self.stopped:
             return
         try:
             self._parser.feed_data(data)
@@ -81,53 +82,54 @@
         ) as exc:
             raise BadResponseError(str(exc) or type(exc).__name__) from exc
 
-    def closed(self) -> bool:
-        """Takes an orderly end of the connection; true if that ends a body.
+    def end_of_stream(self) -> bool:
+        """Handles an orderly close; returns whether it completes a response.
 
-        A response without length ends with its connection. The caller must
-        not call this for a reset, which can cut such a body anywhere.
+        A response without a length ends when its connection closes. The caller
+        must not call this after a reset, which can truncate such a body at any
+        byte.
         """
         head = self._head
-        if head is None or head.framed:
+        if head is None or head.is_framed:
             return False
         self._head = None
         self._on_end()
         return True
 
     def on_message_begin(self) -> None:
-        """Is called by the parser at each first byte."""
-        self.begun = True
+        """Called by the parser at the first byte of each response."""
+        self.mid_response = True
         self._headers = []
         self._reason = b""
 
     def on_status(self, reason: bytes) -> None:
-        """Is called by the parser with pieces of the reason phrase."""
+        """Called by the parser with pieces of the reason phrase."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Is called by the parser with each header."""
+        """Called by the parser with each header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Is called by the parser at the empty line."""
+        """Called by the parser at the empty line after the headers."""
         status = self._parser.get_status_code()
         self._interim = 100 <= status < 200
         if self._interim:
             return
-        framed = status in _NO_BODY or any(
+        is_framed = status in _NO_BODY or any(
             name in (b"content-length", b"transfer-encoding")
             for name, _ in self._headers
         )
-        self._head = Head(status, self._reason, self._headers, framed)
+        self._head = Head(status, self._reason, self._headers, is_framed)
         self._on_head(self._head)
 
     def on_body(self, data: bytes) -> None:
-        """Is called by the parser with each piece of a body."""
+        """Called by the parser with each piece of a body."""
         self._on_data(data)
 
     def on_message_complete(self) -> None:
-        """Is called by the parser when a response is whole."""
-        self.begun = False
+        """Called by the parser when a response is complete."""
+        self.mid_response = False
         if self._interim:
             return
         self._head = None
--- a/magnolialug/cmd/ctl.py
+++ b/magnolialug/cmd/ctl.py
@@ -8,7 +8,7 @@
 from twisted.internet import reactor
 from twisted.internet.defer import ensureDeferred
 
-from magnolialug.carrier.client import Client, address_of
+from magnolialug.carrier.client import Client, parse_address
 from magnolialug.cmd.flagset import (
     COMMON,
     EXIT_BAD_INPUT,
@@ -83,7 +83,7 @@
         self._flags = flags
         self._http = HttpClient(reactor, Code.KV_TIMEOUT)
         self._kv = KvHttp(
-            Client(reactor), address_of(flags.kv_url), timeout_s=3.0
+            Client(reactor), parse_address(flags.kv_url), timeout_s=3.0
         )
 
     async def run(self, name: str, arguments: list[str]) -> int:
--- a/magnolialug/cmd/entry.py
+++ b/magnolialug/cmd/entry.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import reactor
 
-from magnolialug.carrier.client import Client, address_of
+from magnolialug.carrier.client import Client, parse_address
 from magnolialug.cmd.flagset import COMMON, STDOUT, Flag, Group, parse
 from magnolialug.cmd.runner import run_until_signal
 from magnolialug.cmd.serving import (
@@ -51,7 +51,7 @@
     host, port = split_address("listen", flags.listen)
 
     async def start():
-        kv = KvHttp(Client(reactor), address_of(flags.kv_url))
+        kv = KvHttp(Client(reactor), parse_address(flags.kv_url))
         current = Current()
         failure = await load_current(kv, flags.config_dir, flags.peers, current)
         if isinstance(failure, Failure):
--- a/magnolialug/cmd/local.py
+++ b/magnolialug/cmd/local.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.internet import reactor
 
-from magnolialug.carrier.client import Client, address_of
+from magnolialug.carrier.client import Client, parse_address
 from magnolialug.cmd.demo import run_demo
 from magnolialug.cmd.flagset import (
     COMMON,
@@ -98,7 +98,7 @@
     async def start(self) -> Failure | None:
         """Starts everything; the configuration goes through the KV."""
         deployment = self._listen(self.platform.deployment)
-        kv = KvHttp(Client(reactor), address_of(self.platform.kv_url))
+        kv = KvHttp(Client(reactor), parse_address(self.platform.kv_url))
         text = to_text(deployment)
         change = await apply_text(kv, text, 0, "local", "local", time.time)
         if isinstance(change, Failure):
--- a/magnolialug/cmd/serving.py
+++ b/magnolialug/cmd/serving.py
@@ -19,9 +19,9 @@
 from magnolialug.platform.storehttp import StoreHttp
 from magnolialug.result import Code, Failure, failed
 from magnolialug.sidecar.engine import Engine
-from magnolialug.wire.asking import ask_config
 from magnolialug.wire.connect import CONNECT_S, connect_link
 from magnolialug.wire.link import Link
+from magnolialug.wire.queries import query_config
 
 __all__ = [
     "SOURCE",
@@ -126,7 +126,7 @@
     host, port = split_address("peers", address)
 
     async def ask():
-        return await ask_config(
+        return await query_config(
             lambda: connect_link(default_reactor, host, port),
             default_reactor,
             CONNECT_S,
--- a/magnolialug/cmd/sidecar.py
+++ b/magnolialug/cmd/sidecar.py
@@ -6,7 +6,7 @@
 from twisted.internet import reactor
 from twisted.web.server import Site
 
-from magnolialug.carrier.client import Client, address_of
+from magnolialug.carrier.client import Client, parse_address
 from magnolialug.cmd.flagset import COMMON, STDOUT, Flag, Group, parse
 from magnolialug.cmd.runner import run_until_signal
 from magnolialug.cmd.serving import (
@@ -56,7 +56,7 @@
 
     async def start():
         current = Current()
-        kv = KvHttp(Client(reactor), address_of(flags.kv_url))
+        kv = KvHttp(Client(reactor), parse_address(flags.kv_url))
         failure = await load_current(kv, flags.config_dir, flags.peers, current)
         if isinstance(failure, Failure):
             return failure
--- a/magnolialug/ctl/fleetstatus.py
+++ b/magnolialug/ctl/fleetstatus.py
@@ -5,8 +5,8 @@
 from magnolialug.config.deployment import Deployment
 from magnolialug.platform.http import HttpClient
 from magnolialug.result import Failure
-from magnolialug.wire.asking import ask_status
 from magnolialug.wire.connect import connect_link
+from magnolialug.wire.queries import query_status
 
 __all__ = ["ProcessStatus", "ask_entry", "ask_sidecar", "ask_sidecars"]
 
@@ -35,7 +35,7 @@
     reactor, name: str, host: str, port: int
 ) -> ProcessStatus:
     """Asks a sidecar over its own connection."""
-    status = await ask_status(
+    status = await query_status(
         lambda: connect_link(reactor, host, port), reactor, _TIMEOUT_S
     )
     if isinstance(status, Failure):
--- a/magnolialug/entry/candidatelist.py
+++ b/magnolialug/entry/candidatelist.py
@@ -81,7 +81,7 @@
         return [
             peer
             for peer in peers
-            if peer.pool.room
+            if peer.pool.has_capacity
             and peer.cold.may_send(now)
             and peer.listed.endpoint not in avoid
             and not self._barred(call, peer, now)
--- a/magnolialug/entry/directory.py
+++ b/magnolialug/entry/directory.py
@@ -262,7 +262,7 @@
         """Returns how many connections there are, by service."""
         count: Counter[str] = Counter()
         for peer in self.peers.values():
-            count[peer.listed.service] += peer.pool.open
+            count[peer.listed.service] += peer.pool.connection_count
         return [(n, {"service": name}) for name, n in count.items()]
 
     def trim(self) -> None:
--- a/magnolialug/entry/gatewaychannel.py
+++ b/magnolialug/entry/gatewaychannel.py
@@ -3,7 +3,7 @@
 from twisted.internet.protocol import Factory
 from twisted.web.http import HTTPChannel, Request
 
-from magnolialug.carrier.connection import watch_path
+from magnolialug.carrier.connection import enable_dead_peer_detection
 from magnolialug.entry.intake import BoundedBody, IntakeChannel
 from magnolialug.result import Code, failed
 
@@ -66,7 +66,7 @@
         self.totalHeadersSize = self.factory.limits().header_bytes
         self.since = self.factory.clock()
         super().connectionMade()
-        watch_path(self.transport)
+        enable_dead_peer_detection(self.transport)
         self.factory.channels.add(self)
 
     def dataReceived(self, data: bytes) -> None:
--- a/magnolialug/entry/gatewaysink.py
+++ b/magnolialug/entry/gatewaysink.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from magnolialug.carrier.pool import Flight
+from magnolialug.carrier.pool import PendingRequest
 from magnolialug.entry.forwardcall import HeaderList
 from magnolialug.entry.gatewaychannel import GatewayRequest
 from magnolialug.entry.shapes import error_body
@@ -46,7 +46,7 @@
         self.status = 0
         self._req = req
         self._closing = closing
-        self._flight: Flight | None = None
+        self._pending_request: PendingRequest | None = None
         self._paused = False
 
     def left(self) -> None:
@@ -111,23 +111,23 @@
         req.write(body)
         req.finish()
 
-    def holds(self, flight: Flight | None) -> None:
+    def holds(self, pending_request: PendingRequest | None) -> None:
         """Learns whom to hold back while the caller does not read."""
-        self._flight = flight
-        if flight is not None and self._paused:
-            flight.pause()
+        self._pending_request = pending_request
+        if pending_request is not None and self._paused:
+            pending_request.pause()
 
     def pauseProducing(self) -> None:
         """Is called when the caller's socket is full."""
         self._paused = True
-        if self._flight is not None:
-            self._flight.pause()
+        if self._pending_request is not None:
+            self._pending_request.pause()
 
     def resumeProducing(self) -> None:
         """Is called when there is room again."""
         self._paused = False
-        if self._flight is not None:
-            self._flight.resume()
+        if self._pending_request is not None:
+            self._pending_request.resume()
 
     def stopProducing(self) -> None:
         """Is called when the connection is gone."""
--- a/magnolialug/entry/httpattempt.py
+++ b/magnolialug/entry/httpattempt.py
@@ -7,9 +7,9 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from magnolialug.carrier.pool import Flight
+from magnolialug.carrier.pool import PendingRequest
 from magnolialug.carrier.reader import Head
-from magnolialug.carrier.taker import End
+from magnolialug.carrier.responsereceiver import End
 from magnolialug.config.routing import RouteType
 from magnolialug.entry.callstate import CallState, Phase
 from magnolialug.entry.dispatch import Dispatch
@@ -62,7 +62,7 @@
     def cut(self) -> None:
         """Ends the answer so that it cannot look complete."""
 
-    def holds(self, flight: Flight | None) -> None:
+    def holds(self, pending_request: PendingRequest | None) -> None:
         """Learns whom to hold back while the caller does not read."""
 
 
@@ -89,7 +89,7 @@
     ended: Ended | None
     answer: Answer | None = None
     first_event_s: float = 0.0
-    end: End = End.WHOLE
+    end: End = End.COMPLETE
     sent_at: float = 0.0
     begun: bool = False
     kept: bytes = b""
@@ -139,8 +139,8 @@
         self._kept: list[bytes] = []
         self._first_event_s = 0.0
         self._cutter: EventCutter | None = None
-        self._flight: Flight | None = None
-        self._why = End.WHOLE
+        self._pending_request: PendingRequest | None = None
+        self._why = End.COMPLETE
 
     def start(self, clock) -> None:
         """Sends the request."""
@@ -148,10 +148,10 @@
         left = self._call.deadline - clock()
         request = endpoint_request(self._call, self.dispatch, left)
         name = self._call.name
-        self._flight = self.peer.pool.send(
+        self._pending_request = self.peer.pool.send(
             request, self, lambda head: answers(name, head)
         )
-        self._sink.holds(self._flight)
+        self._sink.holds(self._pending_request)
 
     def state(self, now: float) -> CallState:
         """Returns how far the attempt has come."""
@@ -162,12 +162,12 @@
         """Ends the attempt when nothing more can come of it in time."""
         over = now >= self._call.deadline or self._is_orphaned()
         if over or (self._is_overdue(now) and self._may_move()):
-            self._flight.silent()
+            self._pending_request.time_out()
 
     def break_off(self) -> None:
         """Stops a request that ends endpoints before this one begins it."""
         if not self.begun:
-            self._flight.drop()
+            self._pending_request.drop()
 
     def _is_overdue(self, now: float) -> bool:
         """Whether another endpoint is the better bet, if one may be tried.
@@ -195,8 +195,8 @@
         elif self._is_kept(answer):
             self._stage = _Stage.KEPT
         elif answer.status in _GOOD and not self._is_sound(answer, stream):
-            self._why = End.GARBAGE
-            self._flight.drop()
+            self._why = End.MALFORMED
+            self._pending_request.drop()
         elif stream or self._call.route.form is RouteType.STREAMING:
             self._pass(stream)
         else:
@@ -233,7 +233,7 @@
         elif self._stage is _Stage.KEPT:
             self._kept.append(data)
             if sum(map(len, self._kept)) > _KEPT_BYTES:
-                self._flight.drop()
+                self._pending_request.drop()
 
     def _heard(self) -> None:
         self.heard_at = self._clock()
@@ -269,8 +269,8 @@
         try:
             events = self._cutter.feed(data)
         except ValueError:
-            self._why = End.GARBAGE
-            self._flight.drop()
+            self._why = End.MALFORMED
+            self._pending_request.drop()
             return
         self._progress.seq = self._cutter.last
         if events:
@@ -278,13 +278,13 @@
 
     def on_end(self, end: End) -> None:
         """Learns how the exchange ended."""
-        if end is End.DROPPED and self._why is not End.WHOLE:
+        if end is End.DROPPED and self._why is not End.COMPLETE:
             end = self._why
         self._sink.holds(None)
         done, self.done = self.done, None
         if done is None:
             return
-        if self._stage is _Stage.GATHERING and end is End.WHOLE:
+        if self._stage is _Stage.GATHERING and end is End.COMPLETE:
             self._pass_gathered()
         outcome = self._outcome(end)
         outcome.end = end
@@ -300,7 +300,7 @@
         if end is End.UNSENT:
             failure = failed(Code.CONNECTION_REFUSED, retry_after_s=0.5)
             return Outcome(Ended(Ending.UNSENT, failure))
-        if end is not End.WHOLE:
+        if end is not End.COMPLETE:
             return Outcome(Ended(self._lost_ending(), self._lost(end)))
         if self._stage is _Stage.KEPT:
             reason = f"status {self._answer.status}"
@@ -336,4 +336,4 @@
         self.done = None
         self._sink.holds(None)
         if self._call.route.form is not RouteType.NON_IDEMPOTENT:
-            self._flight.drop()
+            self._pending_request.drop()
--- a/magnolialug/entry/httpcarrier.py
+++ b/magnolialug/entry/httpcarrier.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import CancelledError
 
-from magnolialug.carrier.taker import End
+from magnolialug.carrier.responsereceiver import End
 from magnolialug.entry.admissionrules import ahead_limit_s, waiting_of
 from magnolialug.entry.callstate import CallState, Phase
 from magnolialug.entry.candidateprober import CandidateProber
@@ -33,7 +33,7 @@
 _FETCHED = {"moved": "fetched"}
 _SAVED = {"moved": "saved"}
 _CLOSED_ON_US = (End.RESET, End.CLOSED)
-_ENDPOINT_AT_FAULT = (*_CLOSED_ON_US, End.GARBAGE, End.SILENT)
+_ENDPOINT_AT_FAULT = (*_CLOSED_ON_US, End.MALFORMED, End.SILENT)
 
 
 class HttpCarrier:
@@ -294,7 +294,7 @@
         answer = outcome.answer
         if answer is not None and answer.not_run:
             return
-        if outcome.end is End.WHOLE:
+        if outcome.end is End.COMPLETE:
             self._quarantine.survived(self._call.digest)
         elif outcome.end in _CLOSED_ON_US and not peer.leaving:
             self._quarantine.lost(
--- a/magnolialug/platform/enginehttp.py
+++ b/magnolialug/platform/enginehttp.py
@@ -35,20 +35,20 @@
         self._status = 0
         self._rest = b""
         taker = StreamTaker(self._answered, self._data, self._closed)
-        self._flight = http.stream("POST", url, body, taker)
+        self._pending_request = http.stream("POST", url, body, taker)
 
     def pause(self) -> None:
         """Stops reading from the socket, so that the engine's end fills."""
-        self._flight.pause()
+        self._pending_request.pause()
 
     def resume(self) -> None:
         """Reads from the socket again."""
-        self._flight.resume()
+        self._pending_request.resume()
 
     def cancel(self) -> None:
         """Closes the connection, which cancels the run at the engine."""
         self._end(failed(Code.CANCELLED))
-        self._flight.drop()
+        self._pending_request.drop()
 
     def _answered(self, status: int) -> None:
         self._status = status
@@ -61,7 +61,7 @@
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > _LINE_LIMIT:
             self._end(failed(Code.ENDPOINT_FAILED, "a line without end"))
-            self._flight.drop()
+            self._pending_request.drop()
         for line in lines:
             self._line(line.rstrip(b"\r"))
 
@@ -175,7 +175,7 @@
         self._status = 0
         self._pieces: list[bytes] = []
         taker = StreamTaker(self._answered, self._pieces.append, self._ended)
-        self._flight = http.stream("POST", url, body.encode(), taker)
+        self._pending_request = http.stream("POST", url, body.encode(), taker)
 
     def pause(self) -> None:
         """Has nothing to pause: the answer is one piece."""
@@ -185,7 +185,7 @@
 
     def cancel(self) -> None:
         """Stops waiting; the service may have run the call."""
-        self._flight.drop()
+        self._pending_request.drop()
 
     def _answered(self, status: int) -> None:
         self._status = status
--- a/magnolialug/platform/http.py
+++ b/magnolialug/platform/http.py
@@ -7,9 +7,9 @@
 from twisted.internet import reactor as default_reactor
 
 from magnolialug.carrier.client import Client, NoReply, request_bytes
-from magnolialug.carrier.pool import Flight
+from magnolialug.carrier.pool import PendingRequest
 from magnolialug.carrier.reader import Head
-from magnolialug.carrier.taker import End
+from magnolialug.carrier.responsereceiver import End
 from magnolialug.result import Code, Failure, failed
 
 __all__ = ["HttpClient", "Reply", "StreamTaker"]
@@ -48,7 +48,7 @@
 
     def on_end(self, end: End) -> None:
         """Learns how the exchange ended."""
-        self._on_end(end is End.WHOLE)
+        self._on_end(end is End.COMPLETE)
 
 
 class HttpClient:
@@ -70,7 +70,7 @@
         body: bytes,
         taker: StreamTaker,
         headers: dict[str, str] | None = None,
-    ) -> Flight:
+    ) -> PendingRequest:
         """Sends a request whose response is taken as it arrives."""
         address, request = _request(method, url, body, headers)
         return self._client.send(address, request, taker)
--- a/magnolialug/platform/kvhttp.py
+++ b/magnolialug/platform/kvhttp.py
@@ -15,7 +15,7 @@
 from magnolialug.carrier.client import Client, NoReply, Reply, request_bytes
 from magnolialug.carrier.pool import Address
 from magnolialug.carrier.progress import Progress
-from magnolialug.carrier.taker import End
+from magnolialug.carrier.responsereceiver import End
 from magnolialug.kvpages import Pages, read_pages
 from magnolialug.platform.kv import (
     VALUE_LIMIT,
--- a/magnolialug/wire/messages.py
+++ b/magnolialug/wire/messages.py
@@ -1,8 +1,8 @@
-"""The typed messages that entries and sidecars exchange.
+"""Typed messages between entries and sidecars.
 
-Each message is a msgpack array whose first element is its tag. Fields are
-only ever added at the end, with a default, so that processes of neighbouring
-versions understand each other.
+Each message is a msgpack array whose first element is its tag. New fields are
+only added at the end, with a default, so that processes of adjacent versions
+can decode each other's messages.
 """
 
 import msgspec
@@ -36,7 +36,7 @@
 
 
 class Hello(_Tagged, frozen=True, array_like=True, tag="hello"):
-    """First message of an entry: who it is and what it has in force."""
+    """First message of an entry: its id and its configuration version."""
 
     entry: str
     config_version: int
@@ -55,19 +55,19 @@
 
     Attributes:
       now: the sidecar's monotonic clock in seconds.
-      draining: true when it takes no new work.
+      draining: whether it refuses new attempts.
       running: attempts that hold a slot.
-      queued: attempts waiting.
-      queued_by_priority: prompt tokens waiting, by priority number.
-      prefill_rate: prompt tokens a second, learned from runs.
-      run_s: time an attempt holds a slot, learned from runs.
+      queued: attempts in the queue.
+      queued_by_priority: queued prompt tokens, by priority number.
+      prefill_rate: prompt tokens per second, estimated from past attempts.
+      run_s: seconds an attempt holds a slot, estimated from past attempts.
       filled: prompt tokens put into the engine's cache since its start.
-      epoch: counts up when the sidecar can no longer vouch for what the
-        engine has cached, which voids every earlier belief.
-      weights: the weight version in force at the endpoint.
-      config_version: configuration in force at the sidecar.
-      entries: how many entries are connected to the sidecar.
-      beat: the latest watchers' beat that any entry brought.
+      epoch: incremented when the sidecar can no longer guarantee what the
+        engine has cached, which invalidates all earlier cache estimates.
+      weights: the endpoint's current weight version.
+      config_version: the version of the sidecar's current configuration.
+      entries: the number of entries connected to the sidecar.
+      beat: the latest `beat` that any entry sent in a Ping.
     """
 
     now: float
@@ -86,15 +86,15 @@
 
 
 class Dispatch(_Tagged, frozen=True, array_like=True, tag="dispatch"):
-    """Asks the sidecar to run an attempt.
+    """Requests that the sidecar run an attempt.
 
     Attributes:
-      wait_s: how long the first word may take from now on, in seconds.
+      wait_s: seconds from now until the first piece of the answer is due.
       root: the placement key of the prompt, a hash.
-      idempotent: whether it may be run again elsewhere.
+      idempotent: whether the request may be run again on another endpoint.
       body: prompt text for a model, JSON text for a plain service.
-      resume_after: tokens of resume_text that were already delivered.
-      resume_text: the answer so far, which the engine continues.
+      resume_after: the number of tokens of resume_text already delivered.
+      resume_text: the answer up to now, which the engine continues.
       params: sampling options as JSON.
     """
 
@@ -122,12 +122,12 @@
 
 
 class Done(_Tagged, frozen=True, array_like=True, tag="done"):
-    """The answer is whole.
+    """The answer is complete.
 
     Attributes:
-      last_seq: how many pieces it has.
-      stored_tokens: length of the prefix that a store holds.
-      ttft_s: from the dispatch's arrival to the first piece, in seconds.
+      last_seq: the number of pieces of the answer.
+      stored_tokens: the length of the prefix that a store holds.
+      ttft_s: seconds from the dispatch's arrival to the first piece.
     """
 
     attempt: Attempt
@@ -141,7 +141,7 @@
 
 
 class Refused(_Tagged, frozen=True, array_like=True, tag="refused"):
-    """The attempt did not run and never will."""
+    """The attempt did not run and will not run."""
 
     attempt: Attempt
     code: int
@@ -150,11 +150,11 @@
 
 
 class Outcome(_Tagged, frozen=True, array_like=True, tag="outcome"):
-    """What became of an attempt that cannot be streamed.
+    """The state of an attempt whose answer cannot be streamed.
 
     Attributes:
-      sealing: whether the question would have sealed an attempt that was
-        never seen; only then is "forgotten" the last word on it.
+      sealing: whether the query would have sealed an attempt that the sidecar
+        never received. Only then is the state "forgotten" final.
     """
 
     attempt: Attempt
@@ -165,10 +165,11 @@
 
 
 class Resume(_Tagged, frozen=True, array_like=True, tag="resume"):
-    """Asks for an attempt's answer after a piece, on any connection.
+    """Requests an attempt's answer after a piece, on any connection.
 
     Attributes:
-      seal: if the attempt was never seen, refuse it for good and say so.
+      seal: if the sidecar never received the attempt, refuse it permanently
+        and report that.
     """
 
     attempt: Attempt
@@ -177,7 +178,7 @@
 
 
 class Find(_Tagged, frozen=True, array_like=True, tag="find"):
-    """Asks for a request's answer by its id alone, as a caller does."""
+    """Requests an answer by the request's id alone, as a caller does."""
 
     team: str
     request_id: str
@@ -185,14 +186,14 @@
 
 
 class Ack(_Tagged, frozen=True, array_like=True, tag="ack"):
-    """The caller has taken everything up to a piece."""
+    """The caller has received all pieces up to `seq`."""
 
     attempt: Attempt
     seq: int
 
 
 class Cancel(_Tagged, frozen=True, array_like=True, tag="cancel"):
-    """Nobody waits for an idempotent attempt any longer."""
+    """No caller waits for an idempotent attempt any more."""
 
     attempt: Attempt
 
@@ -201,9 +202,10 @@
     """An entry's heartbeat; answered by a Status.
 
     Attributes:
-      config_version: in force at the entry.
-      beat: wall-clock seconds when any watcher known to the entry last heard
-        from the KV; passed on, so that one word serves the whole fleet.
+      config_version: the version of the entry's current configuration.
+      beat: the wall-clock time, in seconds, of the last contact of any watcher
+        known to the entry with the key-value service. Sidecars pass it on, so
+        that one contact is known to the whole fleet.
     """
 
     config_version: int
@@ -211,16 +213,16 @@
 
 
 class ConfigWant(_Tagged, frozen=True, array_like=True, tag="config-want"):
-    """Asks the peer for its configuration if it is newer."""
+    """Requests the peer's configuration if newer than `have_version`."""
 
     have_version: int
 
 
 class ConfigDoc(_Tagged, frozen=True, array_like=True, tag="config-doc"):
-    """A whole accepted configuration.
+    """A complete accepted configuration.
 
     Attributes:
-      digest: hex blake2b of text, which a receiver checks before use.
+      digest: hex blake2b of `text`, which the receiver verifies before use.
       text: the configuration as its canonical JSON.
     """
 
@@ -260,6 +262,6 @@
     """Returns the message in one frame.
 
     Raises:
-      msgspec.DecodeError: the bytes are no msgpack or no known message.
+      msgspec.DecodeError: the bytes are not msgpack or not a known message.
     """
     return _DECODER.decode(data)
--- a/tests/carrier/test_client.py
+++ b/tests/carrier/test_client.py
@@ -1,11 +1,11 @@
-"""Calls that are answered, late, or given up."""
+"""Calls that are answered, time out or are cancelled."""
 
 from testtools import TestCase
 from twisted.internet.defer import CancelledError, ensureDeferred
 from twisted.internet.protocol import Factory, Protocol
 
 from magnolialug.carrier.client import Client, NoReply, request_bytes
-from magnolialug.carrier.taker import End
+from magnolialug.carrier.responsereceiver import End
 from magnolialug.standin.endpoint import EndpointStandin, Fault
 from tests.network import LATENCY_S, Network
 
@@ -14,7 +14,7 @@
 
 
 class ClientTest(TestCase):
-    """One endpoint on a network in memory."""
+    """Calls to one endpoint on an in-memory network."""
 
     def setUp(self):
         super().setUp()
@@ -24,29 +24,29 @@
         self.client = Client(self.net)
 
     def ask(self, timeout_s=1.0):
-        """Returns the deferred of a call."""
+        """Makes a call and returns its deferred."""
         ask = request_bytes("GET", "h", "/x", headers={"X-Request-Id": "r"})
         return self.client.ask(ADDRESS, ask, timeout_s)
 
-    def test_an_answer(self):
+    def test_returns_a_reply(self):
         fut = self.ask()
         self.net.advance_by(0.1)
         self.assertEqual(200, self.successResult(fut).status)
 
     def successResult(self, fut):
-        """Returns what a deferred has been given."""
+        """Returns the result of a deferred that has fired."""
         results = []
         fut.addCallback(results.append)
         return results[0]
 
-    def test_none_in_time(self):
+    def test_no_reply_within_the_timeout_ends_as_silent(self):
         self.endpoint.faults = [Fault.MUTE]
         fut = self.ask(timeout_s=0.2)
         self.net.advance_by(0.3)
         self.assertEqual(NoReply(End.SILENT), self.successResult(fut))
 
-    def test_a_connection_that_opens_late_serves_the_next_call(self):
-        """Guards against calls that wait out a lost opening packet."""
+    def test_a_connection_that_opens_late_is_used_for_the_next_call(self):
+        """Guards against calls that wait until a lost SYN is sent again."""
         request = request_bytes("GET", "h", "/x", headers={"X-Request-Id": "r"})
         fut = self.client.ask(ADDRESS, request, 1.0, connect_s=LATENCY_S / 2)
         self.net.advance_by(0.1)
@@ -56,8 +56,8 @@
         self.assertEqual(200, self.successResult(fut).status)
         self.assertEqual([ADDRESS], self.net.dialled)
 
-    def test_idle_connections_that_may_be_silent_are_not_used_again(self):
-        """Guards against calls that time out one after the other."""
+    def test_dropped_idle_connections_are_not_reused(self):
+        """Guards against calls that time out in turn on dead connections."""
         first, second = self.ask(), self.ask()
         self.net.advance_by(0.1)
         self.assertEqual(200, self.successResult(first).status)
@@ -68,19 +68,18 @@
         self.net.advance_by(0.1)
         self.assertEqual(200, self.successResult(fut).status)
 
-    def test_a_cancelled_task_goes_no_further(self):
-        """A process stops while one of its tasks asks the store.
+    def test_a_cancelled_task_does_not_continue(self):
+        """Guards against a stopping process that acquires the lease again.
 
-        Symptom: a process that has been told to stop wins the lease again
-        and keeps it from the others until it runs out. Sequence: the task
-        waits for an answer, it is cancelled, it goes on. Cause: the end of
-        the call was handed to the task as an answer.
+        Other processes cannot take the lease then until it expires. The fault:
+        a task that is cancelled during a call to the store receives the end
+        of the call as a reply and continues.
         """
         self.endpoint.faults = [Fault.MUTE]
-        went_on = []
+        replies = []
 
         async def task():
-            went_on.append(await self.ask())
+            replies.append(await self.ask())
 
         fut = ensureDeferred(task())
         self.net.advance_by(0.1)
@@ -88,10 +87,10 @@
         ended = []
         fut.addErrback(lambda reason: ended.append(reason.type))
         self.net.advance_by(2)
-        self.assertEqual([], went_on)
+        self.assertEqual([], replies)
         self.assertEqual([CancelledError], ended)
 
-    def test_a_cancelled_call_stops_the_work(self):
+    def test_cancelling_a_call_closes_its_connection(self):
         self.endpoint.faults = [Fault.MUTE]
         fut = self.ask()
         fut.addErrback(lambda reason: None)
@@ -102,10 +101,10 @@
 
 
 class Pieces(Protocol):
-    """Answers with bodies in pieces, one after the other on all connections."""
+    """Sends bodies in pieces, one response at a time over all connections."""
 
     def dataReceived(self, data):
-        """Begins to answer."""
+        """Schedules the response."""
         self.factory.net.callLater(_PIECE_S, self._begin)
 
     def _begin(self):
@@ -122,12 +121,12 @@
         self.transport.write(b"x")
         if left == 1:
             self.factory.is_busy = False
-        elif not self.factory.falls_silent:
+        elif not self.factory.stalls:
             self.factory.net.callLater(_PIECE_S, self._write, left - 1)
 
 
 class LongResponseTest(TestCase):
-    """Responses that take longer than the bound on silence."""
+    """Responses that take longer than the time-out between pieces."""
 
     def setUp(self):
         super().setUp()
@@ -135,12 +134,12 @@
         self.server = Factory.forProtocol(Pieces)
         self.server.net = self.net
         self.server.pieces = []
-        self.server.is_busy = self.server.falls_silent = False
+        self.server.is_busy = self.server.stalls = False
         self.net.servers[ADDRESS] = self.server
         self.client = Client(self.net)
 
     def ask(self, pieces, timeout_s=2 * _PIECE_S, silence_s=None, size=0):
-        """Returns the list that a call's result is put into."""
+        """Makes a call and returns the list that receives its result."""
         self.server.pieces.append(pieces)
         results = []
         request = request_bytes("POST", "h", "/x", b"x" * size)
@@ -148,28 +147,28 @@
         fut.addCallback(results.append)
         return results
 
-    def test_one_that_goes_on_arriving_is_taken(self):
-        """Guards against a bound on silence that bounds the whole response."""
+    def test_a_response_that_keeps_arriving_does_not_time_out(self):
+        """Guards against a time-out that bounds the whole response."""
         results = self.ask(pieces=20)
         self.net.advance_by(22 * _PIECE_S)
         self.assertEqual(b"x" * 20, results[0].body)
 
-    def test_one_that_falls_silent_is_given_up(self):
+    def test_a_response_that_stalls_times_out(self):
         """Guards against a wait for bytes that never come."""
-        self.server.falls_silent = True
+        self.server.stalls = True
         results = self.ask(pieces=20)
         self.net.advance_by(3.5 * _PIECE_S)
         self.assertEqual([NoReply(End.SILENT)], results)
 
-    def test_one_that_may_begin_late_is_given_up_once_it_falls_silent(self):
-        """Guards against a watch that waits on for the rest of its answer."""
-        self.server.falls_silent = True
+    def test_a_stalled_response_ends_at_the_shorter_silence_bound(self):
+        """Guards against a stalled watch that waits for its first time-out."""
+        self.server.stalls = True
         results = self.ask(20, timeout_s=20.0, silence_s=2 * _PIECE_S)
         self.net.advance_by(3.5 * _PIECE_S)
         self.assertEqual([NoReply(End.SILENT)], results)
 
-    def test_one_that_waits_behind_another_is_not_silent(self):
-        """Guards against calls that end while the link carries another."""
+    def test_a_response_queued_behind_another_does_not_time_out(self):
+        """Guards against time-outs while the link carries another response."""
         long = self.ask(pieces=20)
         self.net.advance_by(2.5 * _PIECE_S)
         short = self.ask(pieces=1)
@@ -177,8 +176,8 @@
         self.assertEqual(b"x", short[0].body)
         self.assertEqual(b"x" * 20, long[0].body)
 
-    def test_a_long_request_has_time_to_leave(self):
-        """Guards against a bound that a long value uses up on its way out."""
+    def test_the_timeout_allows_for_sending_a_long_request(self):
+        """Guards against a time-out before a long value has been sent."""
         results = self.ask(pieces=1, timeout_s=0.5 * _PIECE_S, size=100_000)
         self.net.advance_by(2 * _PIECE_S)
         self.assertEqual(b"x", results[0].body)
--- a/tests/carrier/test_reader.py
+++ b/tests/carrier/test_reader.py
@@ -1,4 +1,4 @@
-"""What is a response, byte by byte."""
+"""Parsing of HTTP responses, in one piece and byte by byte."""
 
 from testtools import TestCase
 
@@ -7,22 +7,22 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-class Log:
-    """What a reader told."""
+class Recorder:
+    """Records the callbacks of a reader."""
 
     def __init__(self):
-        self.told = []
+        self.events = []
         self.reader = ResponseReader(
-            lambda head: self.told.append(head.status),
-            lambda data: self.told.append(data),
-            lambda: self.told.append("end"),
+            lambda head: self.events.append(head.status),
+            lambda data: self.events.append(data),
+            lambda: self.events.append("end"),
         )
 
 
 class ReaderTest(TestCase):
-    """Framing, in tables."""
+    """Complete and malformed responses, in tables."""
 
-    WHOLE = (
+    COMPLETE = (
         (b"Content-Length: 3\r\n\r\nabc", [200, b"abc", "end"]),
         (b"Content-Length: 0\r\n\r\n", [200, "end"]),
         (
@@ -41,47 +41,47 @@
         HEAD + b"Bad\x00Name: 1\r\n\r\n",
     )
 
-    def test_whole_responses_in_one_piece_and_byte_by_byte(self):
-        for text, told in self.WHOLE:
-            log = Log()
+    def test_complete_responses_in_one_piece_and_byte_by_byte(self):
+        for text, expected in self.COMPLETE:
+            log = Recorder()
             log.reader.feed(HEAD + text)
-            self.assertEqual(told, log.told)
-            log = Log()
+            self.assertEqual(expected, log.events)
+            log = Recorder()
             for byte in HEAD + text:
                 log.reader.feed(bytes([byte]))
-            pieces = [t for t in log.told if isinstance(t, bytes)]
+            pieces = [t for t in log.events if isinstance(t, bytes)]
             self.assertEqual(
-                b"".join(t for t in told if isinstance(t, bytes)),
+                b"".join(t for t in expected if isinstance(t, bytes)),
                 b"".join(pieces),
             )
-            self.assertEqual("end", log.told[-1])
+            self.assertEqual("end", log.events[-1])
 
-    def test_what_is_no_response(self):
+    def test_malformed_responses_are_rejected(self):
         for data in self.BAD:
-            log = Log()
+            log = Recorder()
             self.assertRaises(BadResponseError, log.reader.feed, data)
-            self.assertNotIn("end", log.told, data)
+            self.assertNotIn("end", log.events, data)
 
-    def test_interim_responses_are_passed_over(self):
-        log = Log()
+    def test_interim_responses_are_skipped(self):
+        log = Recorder()
         log.reader.feed(b"HTTP/1.1 100 Continue\r\n\r\n")
         log.reader.feed(HEAD + b"Content-Length: 1\r\n\r\na")
-        self.assertEqual([200, b"a", "end"], log.told)
+        self.assertEqual([200, b"a", "end"], log.events)
 
-    def test_a_body_without_length_ends_with_its_connection(self):
-        log = Log()
+    def test_a_body_without_length_ends_at_the_close(self):
+        log = Recorder()
         log.reader.feed(HEAD + b"\r\nabc")
-        self.assertEqual([200, b"abc"], log.told)
-        self.assertTrue(log.reader.closed())
-        self.assertEqual("end", log.told[-1])
+        self.assertEqual([200, b"abc"], log.events)
+        self.assertTrue(log.reader.end_of_stream())
+        self.assertEqual("end", log.events[-1])
 
-    def test_a_body_with_length_does_not(self):
-        log = Log()
+    def test_a_truncated_body_with_length_does_not_end_at_the_close(self):
+        log = Recorder()
         log.reader.feed(HEAD + b"Content-Length: 5\r\n\r\nabc")
-        self.assertFalse(log.reader.closed())
-        self.assertNotIn("end", log.told)
+        self.assertFalse(log.reader.end_of_stream())
+        self.assertNotIn("end", log.events)
 
-    def test_no_body_where_none_may_be(self):
-        log = Log()
+    def test_a_status_without_body_ends_after_the_head(self):
+        log = Recorder()
         log.reader.feed(b"HTTP/1.1 204 No Content\r\n\r\n")
-        self.assertEqual([204, "end"], log.told)
+        self.assertEqual([204, "end"], log.events)
--- a/tests/promises/test_config_in_force.py
+++ b/tests/promises/test_config_in_force.py
@@ -16,8 +16,8 @@
 from magnolialug.entry.serving import Served
 from magnolialug.result import Code, Executed, Failure
 from magnolialug.standin.kv import KvStore
-from magnolialug.wire.asking import ask_config
 from magnolialug.wire.messages import ConfigDoc
+from magnolialug.wire.queries import query_config
 from tests.harness import EXAMPLE, Cluster
 
 TEXT = to_text(read_folder(str(EXAMPLE)))
@@ -370,7 +370,7 @@
             cluster.sidecars["model-1"].current.offer(make_doc(4, text))
 
             def peer(name, cluster=cluster):
-                return lambda: ask_config(
+                return lambda: query_config(
                     lambda: cluster._connect(name), cluster.clock, 2.0
                 )
 
--- a/tests/wire/test_long_messages.py
+++ b/tests/wire/test_long_messages.py
@@ -1,7 +1,7 @@
-"""Messages between processes that take long to arrive on a slow link.
+"""Messages that take longer than the silence time-out on a slow link.
 
-The pattern: the configuration of a deployment with thousands of teams goes to
-a sidecar as one frame of megabytes.
+Example: the configuration of a deployment with thousands of teams is sent to a
+sidecar as one frame of megabytes.
 """
 
 from testtools import TestCase
@@ -10,33 +10,33 @@
 
 from magnolialug.config.current import make_doc
 from magnolialug.result import Code, Failure
-from magnolialug.wire.asking import ask_config
-from magnolialug.wire.link import SILENCE_S, Link
+from magnolialug.wire.link import SILENCE_TIMEOUT_S, Link
 from magnolialug.wire.messages import ConfigDoc, ConfigWant
+from magnolialug.wire.queries import query_config
 from tests.network import Network
 
 _PEER = ("10.0.0.1", 80)
-_RATE = 100_000
-# Takes twice the bound on silence at that rate.
-_TEXT = "x" * int(2 * SILENCE_S * _RATE)
+_BYTES_PER_S = 100_000
+# Takes twice the silence time-out at this rate.
+_TEXT = "x" * int(2 * SILENCE_TIMEOUT_S * _BYTES_PER_S)
 
 
 class LongMessageTest(TestCase):
-    """Two ends of a connection over a slow link."""
+    """Two ends of a connection over a slow network link."""
 
     def setUp(self):
         super().setUp()
         self.net = Network()
-        self.net.slow_link(_PEER, _RATE)
+        self.net.slow_link(_PEER, _BYTES_PER_S)
         self.net.servers[_PEER] = Factory.forProtocol(self.peer)
         self.link = Link(self.net)
         pipe = self.net.connect(self.link, _PEER)
         pipe.address = _PEER
-        self.ended = []
-        self.link.on_down = self.ended.append
+        self.failures = []
+        self.link.on_down = self.failures.append
 
     def peer(self):
-        """Returns the end that answers with a long text."""
+        """Returns the peer's end, which replies with a long text."""
         link = Link(self.net)
 
         def answer(message):
@@ -48,29 +48,29 @@
         return link
 
     def test_a_long_frame_does_not_end_its_connection(self):
-        """Guards against frames that are begun anew for ever."""
-        taken = []
-        self.link.on_message = taken.append
+        """Guards against a long frame that is resent for ever."""
+        received = []
+        self.link.on_message = received.append
         self.link.heartbeat = lambda: ConfigWant(1)
         self.link.send(ConfigWant(0))
-        self.net.advance_by(2.2 * SILENCE_S)
-        self.assertEqual([], self.ended)
-        self.assertTrue(any(isinstance(row, ConfigDoc) for row in taken))
+        self.net.advance_by(2.2 * SILENCE_TIMEOUT_S)
+        self.assertEqual([], self.failures)
+        self.assertTrue(any(isinstance(row, ConfigDoc) for row in received))
 
-    def test_a_configuration_is_taken_though_it_arrives_for_seconds(self):
+    def test_a_slowly_arriving_configuration_is_received(self):
         """Guards against processes that start without a configuration."""
         fut = ensureDeferred(
-            ask_config(lambda: succeed(self.link), self.net, timeout_s=1.0)
+            query_config(lambda: succeed(self.link), self.net, timeout_s=1.0)
         )
         results = []
         fut.addCallback(results.append)
-        self.net.advance_by(2.2 * SILENCE_S)
+        self.net.advance_by(2.2 * SILENCE_TIMEOUT_S)
         self.assertEqual(_TEXT, results[0].text)
 
-    def test_one_that_falls_silent_is_given_up(self):
-        """Guards against a wait for the rest of a frame that is lost."""
+    def test_a_configuration_that_stalls_times_out(self):
+        """Guards against waiting for ever for the rest of a lost frame."""
         fut = ensureDeferred(
-            ask_config(lambda: succeed(self.link), self.net, timeout_s=1.0)
+            query_config(lambda: succeed(self.link), self.net, timeout_s=1.0)
         )
         results = []
         fut.addCallback(results.append)
