--- a/magnolialug/entry/proberesults.py
+++ b/magnolialug/entry/proberesults.py
@@ -1,10 +1,10 @@
-"""What has been found out for one choice."""
+"""Results of the probes for one placement decision."""
 
 import msgspec
 
 from magnolialug.ids import EndpointId
 from magnolialug.policy.choice import Candidate
-from magnolialug.policy.partplan import Stored
+from magnolialug.policy.partplan import PartReport
 from magnolialug.policy.sharedload import EndpointState
 from magnolialug.policy.storeindex import PartKey
 
@@ -12,16 +12,16 @@
 
 
 class ProbeResults(msgspec.Struct):
-    """The endpoints that were asked about, and the answers.
+    """The queried endpoints and the replies of their owners.
 
     Attributes:
-      count: how many of the first on the ring were looked at.
-      states: of the endpoints whose owners have replied.
-      stored: what the owners of stores tell of the prompt's shared parts.
+      count: how many endpoints from the start of the ring were considered.
+      states: the states of the endpoints whose owners replied.
+      stored: what the owners of stores report of the prompt's shared parts.
       candidates: the endpoints with their costs.
     """
 
     count: int = 0
     states: dict[EndpointId, EndpointState] = {}
-    stored: dict[PartKey, Stored] = {}
+    stored: dict[PartKey, PartReport] = {}
     candidates: list[Candidate] = []
--- a/magnolialug/measure/gatewayslopes.py
+++ b/magnolialug/measure/gatewayslopes.py
@@ -14,10 +14,10 @@
     Share,
 )
 from magnolialug.entry.candidatelist import CandidateList
-from magnolialug.entry.costs import Costs
+from magnolialug.entry.costestimator import CostEstimator
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.dispatch import Dispatch
-from magnolialug.entry.eventcutter import EventCutter
+from magnolialug.entry.eventsplitter import EventSplitter
 from magnolialug.entry.forwardcall import ForwardCall
 from magnolialug.entry.proberesults import ProbeResults
 from magnolialug.measure.slope import Slope, bytes_each, micros_each
@@ -30,9 +30,9 @@
 from magnolialug.platform.operator import read_routing
 from magnolialug.platform.requests import endpoint_request, read_marks
 from magnolialug.policy.choice import choose
-from magnolialug.policy.digest import digest_of
 from magnolialug.policy.endpointledger import EndpointLedger
-from magnolialug.policy.listed import Listed
+from magnolialug.policy.registeredendpoint import RegisteredEndpoint
+from magnolialug.policy.requestdigest import request_digest
 from magnolialug.policy.routes import RouteTable
 from magnolialug.policy.sharedload import Placement, WorkShare
 from magnolialug.policy.storeindex import StoreIndex
@@ -117,7 +117,7 @@
         target=b"/a/b",
         headers=marks.passed,
         body=_BODY,
-        digest=digest_of("t1", b"/a/b", _BODY),
+        digest=request_digest("t1", b"/a/b", _BODY),
         prompt=marks.prompt,
     )
 
@@ -127,7 +127,7 @@
     directory.configure(_routing(1, 1))
     for number in range(engines):
         directory.listed(
-            Listed(
+            RegisteredEndpoint(
                 f"i-{number}",
                 "llm",
                 ("10.0.0.1", 1 + number),
@@ -143,7 +143,7 @@
     directory = _directory(engines)
     bounds = WeightBounds(bound_s=12.0)
     shortlist = CandidateList(directory, "zone-1", bounds, lambda: 0.0)
-    costs = Costs("zone-1", StoreMap(), lambda: 0.0)
+    costs = CostEstimator("zone-1", StoreMap(), lambda: 0.0)
     call = _call()
 
     def step() -> None:
@@ -168,14 +168,14 @@
 
 def cut_and_drop(data: bytes) -> None:
     """Cuts whole events out of a piece, as a resumable stream does."""
-    EventCutter().feed(data)
+    EventSplitter().feed(data)
 
 
 def _account() -> EndpointLedger:
     """Returns an engine's account with the work of eight entries."""
     account = EndpointLedger("i-7f3a91c0001", 140_000, _BORN_MS)
     for number in range(8):
-        account.told(f"{number:08x}", _work_share(), 0.0)
+        account.record_share(f"{number:08x}", _work_share(), 0.0)
     return account
 
 
@@ -238,7 +238,7 @@
 def _book(parts: int) -> StoreIndex:
     book = StoreIndex("a", 10**9)
     for number in range(parts):
-        book.added(("/m/1", f"{number:08x}"), 8610)
+        book.add_part(("/m/1", f"{number:08x}"), 8610)
     return book
 
 
--- a/magnolialug/measure/slopes.py
+++ b/magnolialug/measure/slopes.py
@@ -19,14 +19,18 @@
 )
 from magnolialug.confstore import apply_text
 from magnolialug.entry.call import PromptCall
-from magnolialug.entry.claims import Claims
+from magnolialug.entry.claims import ClaimStore
 from magnolialug.events import Event, emit
 from magnolialug.measure.gatewayslopes import gateway_slopes
 from magnolialug.measure.relay import STATUS, Transport, relay_slopes
 from magnolialug.measure.slope import Slope, bytes_each, micros_each
 from magnolialug.policy.admission import Admission, Limit
-from magnolialug.policy.belief import Beliefs, EngineBelief, StoreBelief
 from magnolialug.policy.blocks import block_chain, prompt_root
+from magnolialug.policy.cacheestimates import (
+    CacheEstimates,
+    EngineCacheEstimate,
+    StoreCacheEstimate,
+)
 from magnolialug.policy.fairqueue import FairQueue
 from magnolialug.policy.gate import Gate
 from magnolialug.policy.load import EndpointView
@@ -81,14 +85,16 @@
     }
 
 
-def _beliefs(count: int) -> Beliefs:
-    beliefs = Beliefs(count)
+def _beliefs(count: int) -> CacheEstimates:
+    beliefs = CacheEstimates(count)
     for number in range(count):
         root = prompt_root("team", str(number))
-        beliefs.seen_engine(
-            root, f"endpoint-{number % 100:04d}", EngineBelief(6000, 0, 0)
+        beliefs.record_engine(
+            root,
+            f"endpoint-{number % 100:04d}",
+            EngineCacheEstimate(6000, 0, 0),
         )
-        beliefs.seen_store(root, StoreBelief(6000, True))
+        beliefs.record_store(root, StoreCacheEstimate(6000, True))
     return beliefs
 
 
@@ -213,7 +219,7 @@
 def _kv_calls(base: Deployment) -> list[Slope]:
     clock = Clock()
     kv = KvStore(clock)
-    claims = Claims(kv, clock, Random(1), 86400.0)
+    claims = ClaimStore(kv, clock, Random(1), 86400.0)
     kind = base.services["booking"].kinds["book"]
     counts = {}
 
@@ -241,7 +247,7 @@
     async def booking(key: str) -> None:
         one = call(key)
         mine = claims.new_claim(one, "booking-1", _attempt(1))
-        held = await claims.take(one, mine, 0)
+        held = await claims.acquire(one, mine, 0)
         await claims.answered(one, held, "{}")
 
     ensureDeferred(booking("warm-up"))
--- a/magnolialug/sidecar/app.py
+++ b/magnolialug/sidecar/app.py
@@ -11,11 +11,11 @@
 from magnolialug.events import Event, emit, explain
 from magnolialug.ids import EndpointId, StoreId, new_incarnation
 from magnolialug.metrics import Metrics
+from magnolialug.policy.attemptqueue import AttemptQueue, AttemptTraits
 from magnolialug.policy.blocks import token_count
-from magnolialug.policy.gate import Gate, Term
-from magnolialug.policy.lineup import Claimant, Lineup
+from magnolialug.policy.gate import DispatchDecision, Gate
 from magnolialug.policy.load import merge_tokens
-from magnolialug.policy.stored import Tier
+from magnolialug.policy.storedblock import Tier
 from magnolialug.result import Code, Failure, failed
 from magnolialug.sidecar import callers
 from magnolialug.sidecar.answer import Answer
@@ -69,7 +69,7 @@
         self._timer = None
         self._removed = False
         self._spec = spec = self._deployment.endpoints[endpoint_id]
-        self.lineup: Lineup[Item] = Lineup(
+        self.lineup: AttemptQueue[Item] = AttemptQueue(
             self._deployment.limits.queue_items, spec.slots
         )
         self.speed = Speed(spec.prefill_rate)
@@ -249,10 +249,10 @@
         now = self.clock.seconds()
         attempt = dispatch.attempt
         verdict, failure = self.gate.dispatch(attempt, now)
-        if verdict is Term.REFUSE:
+        if verdict is DispatchDecision.REFUSE:
             self.send_refusal(link, attempt, failure)
-        elif verdict is Term.ATTACH:
-            state = self.gate.ask(attempt, False, now)
+        elif verdict is DispatchDecision.ATTACH:
+            state = self.gate.query(attempt, False, now)
             callers.reattach(self, link, attempt, state, dispatch.resume_after)
         else:
             self._admit(link, dispatch, now)
@@ -271,7 +271,7 @@
         self.answers.add(answer)
         answer.attach(link, dispatch.resume_after)
         share = self._deployment.teams[attempt.team].share
-        claimant = Claimant(attempt.team, tokens, kind.priority, share)
+        claimant = AttemptTraits(attempt.team, tokens, kind.priority, share)
         self.lineup.push(item, claimant)
         self.metrics.queued.add(1)
         self.clock.callLater(dispatch.wait_s, self._overdue, item)
--- a/tests/soak/sabotaged.py
+++ b/tests/soak/sabotaged.py
@@ -3,28 +3,28 @@
 import sys
 
 from magnolialug.cmd import gateway
-from magnolialug.entry import serving
+from magnolialug.entry import retryloop
 from magnolialug.entry.directory import Directory
 from magnolialug.entry.gatewaysink import GatewaySink
 from magnolialug.entry.registry import Registry
-from magnolialug.entry.routebook import RouteBook
+from magnolialug.entry.routeconfig import RouteConfig
 from magnolialug.policy.coldstart import ColdStart
 from magnolialug.quarantine.wiring import Quarantine
 
 
 def repeat():
     """Sends a request that may run once to a second endpoint."""
-    may_retry = serving.may_retry
+    may_retry = retryloop.may_retry
 
     def careless(ending, idempotent, *rest):
         return may_retry(ending, True, *rest)
 
-    serving.may_retry = careless
+    retryloop.may_retry = careless
 
 
 def go_back():
     """Takes the configuration before for the one in force, after a while."""
-    configure = RouteBook._configure
+    configure = RouteConfig._configure
 
     def forgetful(self, value):
         before = self.table
@@ -34,17 +34,17 @@
 
             reactor.callLater(1.0, setattr, self, "table", before)
 
-    RouteBook._configure = forgetful
+    RouteConfig._configure = forgetful
 
 
 def look_whole():
     """Ends an answer that was cut as if it were whole."""
-    GatewaySink.cut = GatewaySink.whole
+    GatewaySink.abort = GatewaySink.complete
 
 
 def forget():
     """Takes no note of endpoints that end."""
-    Quarantine.lost = lambda *_: None
+    Quarantine.record_loss = lambda *_: None
 
 
 def stay():
@@ -54,7 +54,7 @@
 
 def cling():
     """Believes no removal of an endpoint's entry."""
-    Registry._doubtful = lambda _: True
+    Registry._is_uncertain = lambda _: True
 
 
 def rush():
