--- a/magnolialug/entry/claims.py
+++ b/magnolialug/entry/claims.py
@@ -176,7 +176,7 @@
         self._lease_until = now + _LEASE_PERIOD_S
         return lease
 
-    async def answered(
+    async def store_answer(
         self, call: PromptCall, result: ClaimResult, answer: str
     ) -> None:
         """Stores the answer with its claim, on a best-effort basis.
@@ -188,7 +188,7 @@
             return
         await self._rewrite(call, result, answer=answer)
 
-    async def unrun(self, call: PromptCall, result: ClaimResult) -> None:
+    async def mark_not_run(self, call: PromptCall, result: ClaimResult) -> None:
         """Stores that the claimed attempt did not run and never will."""
         await self._rewrite(call, result, unrun=True)
 
--- a/magnolialug/entry/gateway.py
+++ b/magnolialug/entry/gateway.py
@@ -125,7 +125,7 @@
         )
         self.in_progress = 0
         self._reactor = reactor
-        self._entries = self._entry_book(kv, reactor, random)
+        self._entries = self._entry_membership(kv, reactor, random)
         own_address = (settings.host, settings.internal_port)
         self.messenger = PeerMessenger(own_address, reactor)
         self._evacuations = Evacuations(
@@ -309,7 +309,9 @@
     def _on_call_done(self) -> None:
         self.in_progress -= 1
 
-    def _entry_book(self, kv: Kv, reactor, random: Random) -> EntryMembership:
+    def _entry_membership(
+        self, kv: Kv, reactor, random: Random
+    ) -> EntryMembership:
         settings = self.settings
         row = EntryRegistration(
             settings.host,
--- a/magnolialug/entry/sidecarattemptrunner.py
+++ b/magnolialug/entry/sidecarattemptrunner.py
@@ -65,7 +65,7 @@
     async def mark_not_run(self) -> None:
         """Marks the claim of a call as not run."""
         if self._claim_result:
-            await self._claims.unrun(self._call, self._claim_result)
+            await self._claims.mark_not_run(self._call, self._claim_result)
 
     def _use_current_weights(self, end: Ended) -> None:
         """Switches the call to the current version of the weights.
@@ -208,7 +208,7 @@
         if isinstance(end, Done):
             answer = "".join(self._progress.text)
             ensureDeferred(
-                self._claims.answered(self._call, claim_result, answer)
+                self._claims.store_answer(self._call, claim_result, answer)
             )
         return end
 
--- a/magnolialug/measure/actors.py
+++ b/magnolialug/measure/actors.py
@@ -52,13 +52,13 @@
 
 
 class Entry:
-    """An entry's beliefs."""
+    """An entry's cache estimates."""
 
     def __init__(self, names: list[str], workload: Workload, seed: int):
         self.random = Random(seed)
         self.members = Members()
         self.members.listed(names)
-        self.beliefs = CacheEstimates(_BELIEFS)
+        self.cache_estimates = CacheEstimates(_BELIEFS)
         self.ring = Ring(names)
         self.budget = Budget()
         self.views = {
--- a/magnolialug/measure/capacity.py
+++ b/magnolialug/measure/capacity.py
@@ -53,9 +53,9 @@
     teams = TEAMS * cost["team in a configuration"] / MB
     fleet = ENDPOINTS * cost["endpoint: view and ring points"] / MB
     links = ENDPOINTS * cost["link object (without the socket)"] / MB
-    beliefs = _BELIEFS * cost["prompt known to an entry"] / MB
+    cache_estimates = _BELIEFS * cost["prompt known to an entry"] / MB
     base = cost["process that imported magnolialug.cmd.entry"]
-    total = base + teams + fleet + links + beliefs
+    total = base + teams + fleet + links + cache_estimates
     placement = cost["placement, 2000 endpoints, 300000 prompts"]
     request = cost["request through an entry, 1 token"]
     log = 3 * cost["log line, JSON"]
@@ -82,7 +82,7 @@
         Row(
             "entry",
             f"{_BELIEFS:,} prompts",
-            beliefs,
+            cache_estimates,
             "MB",
             "",
             "bounded, least recently seen dropped; the ring finds the rest",
--- a/magnolialug/measure/choosers.py
+++ b/magnolialug/measure/choosers.py
@@ -49,7 +49,13 @@
     rates = world.configured_rates
     link = LinkView(rates[Tier.MEMORY], rates[Tier.DISK], TOKEN_BYTES)
     placed = place(
-        job, entry.ring, view_of, entry.beliefs, link, world.weights, now
+        job,
+        entry.ring,
+        view_of,
+        entry.cache_estimates,
+        link,
+        world.weights,
+        now,
     )
     if isinstance(placed, Placement):
         entry.sent(placed.best.endpoint, placed.best.recomputed, now)
--- a/magnolialug/measure/slopes.py
+++ b/magnolialug/measure/slopes.py
@@ -86,16 +86,16 @@
 
 
 def _beliefs(count: int) -> CacheEstimates:
-    beliefs = CacheEstimates(count)
+    cache_estimates = CacheEstimates(count)
     for number in range(count):
         root = prompt_root("team", str(number))
-        beliefs.record_engine(
+        cache_estimates.record_engine(
             root,
             f"endpoint-{number % 100:04d}",
             EngineCacheEstimate(6000, 0, 0),
         )
-        beliefs.record_store(root, StoreCacheEstimate(6000, True))
-    return beliefs
+        cache_estimates.record_store(root, StoreCacheEstimate(6000, True))
+    return cache_estimates
 
 
 def _gate(count: int) -> Gate:
@@ -137,14 +137,14 @@
     """Returns the cost of one placement at a size."""
     views = _views(endpoints)
     ring = Ring(views)
-    beliefs = _beliefs(prompts)
+    cache_estimates = _beliefs(prompts)
     numbers = Random(1)
     weights = Weights()
 
     def step() -> None:
         root = prompt_root("team", str(numbers.randrange(prompts)))
         job = Job(root, 6000, 30.0, 1, "zone")
-        place(job, ring, views.get, beliefs, _LINK, weights, 0.0)
+        place(job, ring, views.get, cache_estimates, _LINK, weights, 0.0)
 
     name = f"placement, {endpoints} endpoints, {prompts} prompts"
     return micros_each(name, step, 500)
@@ -248,7 +248,7 @@
         one = call(key)
         mine = claims.new_claim(one, "booking-1", _attempt(1))
         held = await claims.acquire(one, mine, 0)
-        await claims.answered(one, held, "{}")
+        await claims.store_answer(one, held, "{}")
 
     ensureDeferred(booking("warm-up"))
     count("non-idempotent request", booking("a"))
--- a/magnolialug/measure/world.py
+++ b/magnolialug/measure/world.py
@@ -349,12 +349,12 @@
             sidecar.engine.filled,
             entry.views[sidecar.name].epoch,
         )
-        entry.beliefs.record_engine(ticket.root, sidecar.name, belief)
+        entry.cache_estimates.record_engine(ticket.root, sidecar.name, belief)
         row = self.store_of(ticket.root).find(ticket.root)
         stored = None
         if row:
             stored = StoreCacheEstimate(_tokens(row), row.tier is Tier.MEMORY)
-        entry.beliefs.record_store(ticket.root, stored)
+        entry.cache_estimates.record_store(ticket.root, stored)
 
     # Heartbeats, while anything is under way.
 
--- a/magnolialug/policy/engineload.py
+++ b/magnolialug/policy/engineload.py
@@ -17,9 +17,9 @@
 # Prompt tokens that an engine is assumed to prefill per second, between the
 # steps of running requests, until the first response gives a measurement; and
 # the bounds of a measurement.
-_INITIAL_RATE = 75_000.0
-_MIN_RATE = 5_000.0
-_MAX_RATE = 120_000.0
+_INITIAL_RATE_TOKENS_PER_S = 75_000.0
+_MIN_RATE_TOKENS_PER_S = 5_000.0
+_MAX_RATE_TOKENS_PER_S = 120_000.0
 # Time from the end of the prefill to the first event at the caller.
 _FIRST_EVENT_S = 0.09
 # Weight of the newest response in the measured prefill rate.
@@ -61,7 +61,7 @@
     def __init__(self, memory: int, slots: int):
         self.memory = memory
         self.slots = slots
-        self.rate = _INITIAL_RATE
+        self.rate = _INITIAL_RATE_TOKENS_PER_S
         self._others: EndpointState | None = None
         self._others_at = float("-inf")
         self._running: dict[str, Placed] = {}
@@ -193,7 +193,10 @@
         took = now - placed.sent_at - _FIRST_EVENT_S - placed.ahead_s
         if placed.unread < _MIN_SAMPLE_TOKENS or took <= 0:
             return
-        rate = min(_MAX_RATE, max(_MIN_RATE, placed.unread / took))
+        rate = min(
+            _MAX_RATE_TOKENS_PER_S,
+            max(_MIN_RATE_TOKENS_PER_S, placed.unread / took),
+        )
         self.rate += _RATE_SMOOTHING * (rate - self.rate)
 
     def ended(self, name: str) -> None:
--- a/magnolialug/policy/placement.py
+++ b/magnolialug/policy/placement.py
@@ -179,7 +179,7 @@
     job: Job,
     ring: Ring,
     view_of: Callable[[EndpointId], EndpointView | None],
-    beliefs: CacheEstimates,
+    cache_estimates: CacheEstimates,
     link: LinkView,
     weights: Weights,
     now: float,
@@ -197,18 +197,18 @@
     Returns:
       the placement, or a failure NO_ENDPOINT or WAIT_EXCEEDED, both not run.
     """
-    stored = beliefs.store(job.root)
+    stored = cache_estimates.store(job.root)
     costs: dict[EndpointId, Cost] = {}
     count = _FIRST_CANDIDATES
     while True:
         names = ring.candidates(job.root, count)
-        for name in names + beliefs.cached_endpoints(job.root):
+        for name in names + cache_estimates.cached_endpoints(job.root):
             view = None if name in job.avoid else view_of(name)
             if view is None or name in costs:
                 continue
             if job.weights and view.weights and view.weights != job.weights:
                 continue
-            cached = beliefs.engine_tokens(
+            cached = cache_estimates.engine_tokens(
                 job.root, name, view.filled, view.epoch, view.cache_tokens
             )
             costs[name] = cost_at(view, cached, stored, job, link, weights, now)
--- a/magnolialug/policy/recentanswers.py
+++ b/magnolialug/policy/recentanswers.py
@@ -8,7 +8,7 @@
 
 # Requests that are remembered: about three minutes of an entry's requests,
 # 0.6 MB.
-_CAPACITY = 4096
+_MAX_REQUESTS = 4096
 # Crashes that one fault causes happen within this time.
 _FAULT_WINDOW_S = 1.0
 
@@ -29,7 +29,7 @@
         """Records that a request was answered in full."""
         self._kept[digest] = float("inf")
         self._kept.move_to_end(digest)
-        if len(self._kept) > _CAPACITY:
+        if len(self._kept) > _MAX_REQUESTS:
             self._kept.popitem(last=False)
 
     def rules_out(self, digest: RequestDigest, now: float) -> bool:
--- a/magnolialug/quarantine/wiring.py
+++ b/magnolialug/quarantine/wiring.py
@@ -30,7 +30,7 @@
 # Limits a crash report to 1,400 bytes, at 40 bytes per request.
 _LOSSES_PER_MESSAGE = 32
 # Bounds memory use for requests that were reported and not answered since.
-_MAX_REPORTED = 10_000
+_MAX_REPORTED_REQUESTS = 10_000
 
 
 class Quarantine:
@@ -127,7 +127,7 @@
                 *self._owners.owner_candidates(loss.digest),
             }:
                 by_owner.setdefault(owner, []).append(loss)
-        while len(self._reported_requests) > _MAX_REPORTED:
+        while len(self._reported_requests) > _MAX_REPORTED_REQUESTS:
             del self._reported_requests[next(iter(self._reported_requests))]
         for owner, rows in by_owner.items():
             for begin in range(0, len(rows), _LOSSES_PER_MESSAGE):
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -135,8 +135,10 @@
         )
 
     def test_estimates_expire_by_volume_and_by_epoch(self):
-        beliefs = CacheEstimates(10)
-        beliefs.record_engine("r", "e", EngineCacheEstimate(600, 1000, 1))
+        cache_estimates = CacheEstimates(10)
+        cache_estimates.record_engine(
+            "r", "e", EngineCacheEstimate(600, 1000, 1)
+        )
         cases = (
             # filled since, epoch, estimated
             (1000, 1, 600),
@@ -145,7 +147,7 @@
             (1000, 2, 0),
         )
         for filled, epoch, tokens in cases:
-            got = beliefs.engine_tokens("r", "e", filled, epoch, 1000)
+            got = cache_estimates.engine_tokens("r", "e", filled, epoch, 1000)
             self.assertEqual(tokens, got)
 
     def test_a_prompt_due_to_return_has_a_higher_chance_than_a_new_one(self):
